--- a/src/cardamomgrade/budget.py
+++ b/src/cardamomgrade/budget.py
@@ -1,11 +1,11 @@
-"""The availability budget of a pool: how many of its VMs may be out at once.
-
-The VMs left must reach the highest ``min_serving`` of the pool's services, also when
-one more rack fails: the rack with most of the VMs left. A pool that could not spare
-both one VM and one rack with all its VMs healthy would never be maintained under
-this rule; for such a pool only ``min_serving`` is demanded. The alternative, to
-refuse such bundles, would lock out small estates, and to ignore racks everywhere
-would give up what larger pools can keep.
+"""The availability budget of a pool: how many of its VMs may be out of service at once.
+
+The VMs that remain in service must reach the highest ``min_serving`` of the pool's
+services even if the rack with most of them fails as well. A pool that could not lose
+one VM and one rack with all its VMs healthy could never be maintained under this
+rule, so only ``min_serving`` applies to it. Refusing the bundles of such pools would
+exclude small fleets, and ignoring racks everywhere would give up the rack tolerance
+of larger pools.
 """
 
 import attrs
@@ -15,10 +15,11 @@
 
 @attrs.frozen
 class Budget:
-    """What is left of a pool without a batch, in VMs.
+    """The VMs of a pool that serve while those of a batch are out of service.
 
-    ``rack`` holds most of the VMs left, ``rack_vms`` of them. ``guarded`` tells
-    whether the loss of that rack is counted.
+    ``serving`` and ``required`` are numbers of VMs. ``rack`` is the rack with most
+    of the serving VMs, ``rack_vms`` their number in it. ``guarded`` is whether the
+    loss of that rack counts against the budget.
     """
 
     serving: int
@@ -29,9 +30,9 @@
 
     @property
     def spare(self):
-        """VMs beyond what is demanded; below 0 the budget is broken."""
-        lost = self.rack_vms if self.guarded else 0
-        return self.serving - lost - self.required
+        """The number of VMs above the requirement; the budget is broken below 0."""
+        rack_loss = self.rack_vms if self.guarded else 0
+        return self.serving - rack_loss - self.required
 
     def __str__(self):
         rule = (
@@ -43,38 +44,44 @@
 
 
 def required_vms(bundle):
-    """Return {pool: VMs that must serve}, the highest min_serving of its services."""
+    """Return {pool: number of VMs}, the highest ``min_serving`` of its services."""
     required = {}
     for service in bundle.services.values():
-        wanted = max(required.get(service.pool, 0), service.min_serving)
-        required[service.pool] = wanted
+        needed = max(required.get(service.pool, 0), service.min_serving)
+        required[service.pool] = needed
     return required
 
 
-def measure_budget(bundle, vms, required, batch=()):
-    """Return the Budget of a pool's ``vms`` {vm: VmState} without those in ``batch``.
+def compute_budget(bundle, vms, required, batch=()):
+    """Return the Budget of a pool while the VMs named in ``batch`` are out of service.
 
-    Takes time linear in the VMs of the pool.
+    ``vms`` is {name: VmState} of the whole pool and ``required`` the number that must
+    serve. Takes time linear in the number of VMs.
     """
-    out = frozenset(batch)
-    racks, left = {}, {}
+    excluded = frozenset(batch)
+    racks, active_by_rack = {}, {}
     for name, vm in vms.items():
         rack = bundle.vms[name].rack
         racks[rack] = racks.get(rack, 0) + 1
-        if vm.active and name not in out:
-            left[rack] = left.get(rack, 0) + 1
-    rack = max(left, key=lambda item: (left[item], item), default="")
+        if vm.active and name not in excluded:
+            active_by_rack[rack] = active_by_rack.get(rack, 0) + 1
+    rack = max(
+        active_by_rack, key=lambda item: (active_by_rack[item], item), default=""
+    )
     return Budget(
-        serving=sum(left.values()),
+        serving=sum(active_by_rack.values()),
         required=required,
         rack=rack,
-        rack_vms=left.get(rack, 0),
-        guarded=_can_spare_rack(racks, required),
+        rack_vms=active_by_rack.get(rack, 0),
+        guarded=_tolerates_rack_loss(racks, required),
     )
 
 
-def _can_spare_rack(racks, required):
-    """Return whether any one VM and then any rack can go when all are healthy."""
+def _tolerates_rack_loss(racks, required):
+    """Return whether a pool with all VMs healthy can lose any VM and any rack.
+
+    ``racks`` is {rack: number of VMs}.
+    """
     total = sum(racks.values())
     if len(racks) < 2:
         return required == 0
@@ -82,8 +89,8 @@
 
 
 def check_budget(bundle, vms, required, batch):
-    """Return the Budget without ``batch``, or a Refusal (BUDGET)."""
-    budget = measure_budget(bundle, vms, required, batch)
+    """Return the Budget while ``batch`` is out of service, or a Refusal (BUDGET)."""
+    budget = compute_budget(bundle, vms, required, batch)
     if budget.spare < 0:
         return Refusal(Reason.BUDGET, str(budget))
     return budget
--- a/src/cardamomgrade/fleet.py
+++ b/src/cardamomgrade/fleet.py
@@ -1,7 +1,8 @@
-"""The state of the fleet as a pure fold of the ``fleet`` stream.
+"""The state of the fleet, built by folding the records of the ``fleet`` stream.
 
-Every process that has folded the same records holds the same state. An intent that
-is not valid at its offset changes nothing but ``offset`` and ``time_ms``.
+Folding applies one record after the other and is deterministic: processes that have
+folded the same records have equal states. A record that is invalid at its offset
+changes only ``offset`` and ``time_ms``.
 """
 
 import attrs
@@ -27,7 +28,10 @@
 
 @attrs.frozen
 class Member:
-    """An entry in its seat; ``offset`` is that of its MemberJoined."""
+    """An entry (request router) that holds its seat, a name listed in the bundle.
+
+    ``offset`` is that of its MemberJoined.
+    """
 
     entry: str
     incarnation: int
@@ -38,14 +42,15 @@
 
 @attrs.frozen
 class FleetState:
-    """What the fleet is, after the records before ``offset``.
-
-    ``time_ms`` is the latest log time folded. No reboot is ordered on confirmations
-    alone before ``quiet_after_ms``: until then the endpoints may run requests of
-    members that have left. ``deadline_peak_ms`` is the longest deadline of any
-    bundle that was in force; a member may have sent requests under any of them.
-    ``retired`` are the VMs that bundles removed: an entry that has not read the roll
-    may still send to them.
+    """The state of the fleet after all records with offsets below ``offset``.
+
+    ``time_ms`` is the latest log time folded. Until the log time ``quiet_after_ms``
+    endpoints may run requests of former members, so confirmations of the current
+    members alone do not permit a reboot. ``deadline_peak_ms`` is the longest
+    deadline of all bundles that have been in force, since a member may have sent
+    requests under any of them. ``retired`` holds the VMs that bundles removed, as
+    {name: RetiredVm}: an entry that has not read the BundleRolled may still send
+    requests to them.
     """
 
     offset: int = 0
@@ -65,30 +70,35 @@
 
 
 @attrs.frozen
-class Folded:
-    """A state, and the Refusal of the record that led to it or None."""
+class FoldResult:
+    """The state after a record, and the Refusal of that record or None."""
 
     state: FleetState
     refusal: Refusal | None = None
 
 
 def fold(state, logged):
-    """Return the Folded of one more record; a record known already is refused."""
+    """Return the FoldResult of the Logged that follows ``state``.
+
+    A record that was folded before is refused (ALREADY_DONE).
+    """
     if logged.offset < state.offset:
-        return Folded(state, Refusal(Reason.ALREADY_DONE, "offset was folded"))
+        return FoldResult(
+            state, Refusal(Reason.ALREADY_DONE, "offset is already folded")
+        )
     time_ms = max(state.time_ms, logged.time_ms)
-    advanced = attrs.evolve(state, offset=logged.offset + 1, time_ms=time_ms)
+    next_state = attrs.evolve(state, offset=logged.offset + 1, time_ms=time_ms)
     handle = _HANDLERS.get(type(logged.record))
     if handle is None:
-        return Folded(advanced)
-    result = handle(advanced, logged.record, logged.offset)
+        return FoldResult(next_state)
+    result = handle(next_state, logged.record, logged.offset)
     if isinstance(result, Refusal):
-        return Folded(advanced, result)
-    return Folded(result)
+        return FoldResult(next_state, result)
+    return FoldResult(result)
 
 
 def fold_all(state, batch):
-    """Return the state after a list of Logged."""
+    """Return the state after a list of Logged, whether refused or not."""
     for logged in batch:
         state = fold(state, logged).state
     return state
@@ -98,12 +108,12 @@
     old = state.members.get(record.entry)
     if old is not None and record.incarnation <= old.incarnation:
         return Refusal(
-            Reason.OUTDATED, f"{record.entry} has incarnation {old.incarnation}"
+            Reason.OUTDATED, f"{record.entry} already has incarnation {old.incarnation}"
         )
     if old is not None and record.address != old.address:
         return Refusal(
             Reason.WRONG_STATE,
-            f"{record.entry} is held at {old.address}, whose process may live",
+            f"{record.entry} is a member at {old.address}, whose process may still run",
         )
     member = Member(
         record.entry, record.incarnation, record.zone, record.address, offset
@@ -114,7 +124,10 @@
 
 
 def _leave_member(state, record, offset):
-    """Fold MemberLeft: who leaves by its own word has no request running."""
+    """Fold MemberLeft, which an entry appends once none of its requests runs.
+
+    ``quiet_after_ms`` therefore stays as it is.
+    """
     if not is_member(state, record.entry, record.incarnation):
         return _no_member(record)
     quiet_after_ms = state.quiet_after_ms
@@ -123,14 +136,14 @@
 
 
 def _lose_member(state, record, offset):
-    """Fold MemberGone."""
+    """Fold MemberGone, which a control appends when the entry's VM is gone."""
     if not is_member(state, record.entry, record.incarnation):
         return _no_member(record)
     return _drop_member(state, record.entry)
 
 
 def _drop_member(state, entry):
-    """Return the state without a member, whose requests may still run."""
+    """Return the state without a member whose requests may still run."""
     members = dict(state.members)
     del members[entry]
     batches = {
@@ -145,12 +158,13 @@
 
 def _no_member(record):
     return Refusal(
-        Reason.UNKNOWN, f"{record.entry} incarnation {record.incarnation}: no member"
+        Reason.UNKNOWN,
+        f"{record.entry} incarnation {record.incarnation} is not a member",
     )
 
 
-def _by_member(handle):
-    """Return ``handle`` refusing records of a former or unknown incarnation."""
+def _members_only(handle):
+    """Wrap ``handle`` to refuse records of former or unknown members (UNKNOWN)."""
 
     def checked(state, record, offset):
         if not is_member(state, record.entry, record.incarnation):
@@ -160,13 +174,15 @@
     return checked
 
 
-def _set_failed(failed):
+def _failed_handler(failed):
     def handle(state, record, offset):
         vm = state.vms.get(record.vm)
         if vm is None:
             return Refusal(Reason.UNKNOWN, f"no VM {record.vm}")
         if vm.failed == failed:
-            return Refusal(Reason.ALREADY_DONE, f"{record.vm} is known as such")
+            return Refusal(
+                Reason.ALREADY_DONE, f"failure of VM {record.vm} is unchanged"
+            )
         vms = state.vms.replace([attrs.evolve(vm, failed=failed)])
         return attrs.evolve(state, vms=vms)
 
@@ -181,39 +197,40 @@
     records.MemberLeft: _leave_member,
     records.MemberGone: _lose_member,
     records.BatchOpened: open_batch,
-    records.BatchAcked: _by_member(ack_batch),
+    records.BatchAcked: _members_only(ack_batch),
     records.DrainStarted: start_drain,
-    records.DrainConfirmed: _by_member(confirm_drain),
+    records.DrainConfirmed: _members_only(confirm_drain),
     records.RebootOrdered: order_reboot,
     records.VmJoined: join_vm,
     records.BatchAborted: abort_batch,
-    records.VmFailed: _set_failed(True),
-    records.VmRecovered: _set_failed(False),
+    records.VmFailed: _failed_handler(True),
+    records.VmRecovered: _failed_handler(False),
 }
 
 
 def is_member(state, entry, incarnation):
-    """Return whether an entry holds its seat with this incarnation."""
+    """Return whether the entry is a member with this incarnation."""
     member = state.members.get(entry)
     return member is not None and member.incarnation == incarnation
 
 
 def may_send(state, vm, fresh):
-    """Return True, or the Refusal (NOT_SERVING) to send a request to a VM.
+    """Return True when requests may be sent to a VM, else a Refusal.
 
-    ``fresh`` tells whether the last read of the tail is younger than LEASE_MS.
+    The reason is UNKNOWN or NOT_SERVING. ``fresh`` is whether the end of the log was
+    last read less than LEASE_MS ago.
     """
     known = state.vms.get(vm)
     if known is None:
         return Refusal(Reason.UNKNOWN, f"no VM {vm}")
     if known.phase == "serving" or (known.phase == "noticed" and fresh):
         return True
-    detail = "not fresh" if known.phase == "noticed" else known.phase
+    detail = "noticed, log read too old" if known.phase == "noticed" else known.phase
     return Refusal(Reason.NOT_SERVING, f"{vm}: {detail}")
 
 
 def batches_to_ack(state, entry, incarnation):
-    """Return the offsets of open batches that the member has to acknowledge."""
+    """Return the offsets of open batches that the member has yet to acknowledge."""
     if not is_member(state, entry, incarnation):
         return []
     return [
@@ -224,7 +241,7 @@
 
 
 def drains_to_confirm(state, entry, incarnation):
-    """Return the offsets of draining batches that the member has not confirmed."""
+    """Return the offsets of draining batches that the member has yet to confirm."""
     if not is_member(state, entry, incarnation):
         return []
     return [
@@ -235,9 +252,9 @@
 
 
 def vms_to_clear(state, offset):
-    """Return the VMs of a batch that have not joined again.
+    """Return the names of a batch's VMs that have not rejoined after their reboot.
 
-    A drain is confirmed by who holds no request on these.
+    A member confirms the drain when it has no running request on any of them.
     """
     batch = state.batches.get(offset)
     if batch is None:
@@ -246,5 +263,5 @@
 
 
 def longest_deadline_ms(state):
-    """Return the longest deadline that a request still running may have."""
+    """Return the longest deadline that a running request can have."""
     return state.deadline_peak_ms
--- a/src/cardamomgrade/inventory.py
+++ b/src/cardamomgrade/inventory.py
@@ -1,4 +1,4 @@
-"""The VMs of the fleet by pool: an immutable map that is cheap to change."""
+"""The states of the fleet's VMs, in an immutable mapping with cheap updates."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class RoundDone:
-    """The last round of a wave in which a VM was rebooted."""
+    """The last round of a maintenance wave in which a VM was rebooted."""
 
     wave: str
     round: int
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class RetiredVm:
-    """A VM that a bundle removed, with its pool and its address at that time."""
+    """A VM that a bundle removed, with its last pool and address (ip:port)."""
 
     name: str
     pool: str
@@ -28,11 +28,13 @@
 
 @attrs.frozen
 class VmState:
-    """A VM as folded from the log.
+    """The state of a VM as folded from the log.
 
-    ``phase`` is a state of the vm chart, entered at the log time ``since_ms``.
-    ``batch`` is the offset of its open batch or None, ``fence`` the offset of its
-    last reboot order or NO_FENCE, ``failed`` what the platform last showed.
+    ``phase`` is a state of the state chart ``vm``, entered at the log time
+    ``since_ms``. ``batch`` is the offset of its open batch or None. ``fence`` is the
+    offset of its last RebootOrdered or NO_FENCE; the platform rejects reboots whose
+    fence is not newer. ``failed`` is whether the platform last listed it as failed.
+    ``rounds`` is a tuple of RoundDone.
     """
 
     name: str
@@ -46,11 +48,11 @@
 
     @property
     def active(self):
-        """Whether it takes requests and is not known to have failed."""
+        """Whether the VM accepts requests and is not known to have failed."""
         return not self.failed and self.phase in ("serving", "noticed")
 
     def round_done(self, wave):
-        """Return the last round of ``wave`` in which it was rebooted, or 0."""
+        """Return the last round of ``wave`` in which the VM was rebooted, or 0."""
         for item in self.rounds:
             if item.wave == wave:
                 return item.round
@@ -59,25 +61,25 @@
 
 @attrs.frozen(eq=False)
 class Inventory(Mapping):
-    """VmState by name; a change copies the maps of its pools only.
+    """Immutable mapping {name: VmState}; an update copies only the pools it changes.
 
-    A VM's pool is one field, so that a VM is in one pool at any moment.
+    The pool is a single field of VmState, so a VM is always in exactly one pool.
     """
 
     _pools: dict = attrs.field(factory=dict, alias="pools")
-    _where: dict = attrs.field(factory=dict, alias="where")
+    _pool_by_vm: dict = attrs.field(factory=dict, alias="pool_by_vm")
 
     def __getitem__(self, vm):
-        return self._pools[self._where[vm]][vm]
+        return self._pools[self._pool_by_vm[vm]][vm]
 
     def __contains__(self, vm):
-        return vm in self._where
+        return vm in self._pool_by_vm
 
     def __iter__(self):
-        return iter(self._where)
+        return iter(self._pool_by_vm)
 
     def __len__(self):
-        return len(self._where)
+        return len(self._pool_by_vm)
 
     def __eq__(self, other):
         return isinstance(other, Inventory) and self._pools == other._pools
@@ -89,30 +91,32 @@
         return self._pools.keys()
 
     def pool(self, name):
-        """Return the VMs of a pool, {vm: VmState}; the same object until it changes."""
+        """Return {name: VmState} of a pool, the same object until the pool changes."""
         return self._pools.get(name, _EMPTY)
 
     def replace(self, states, removed=()):
-        """Return an Inventory with the given VmStates put and VM names removed."""
-        pools, where, owned = dict(self._pools), self._where, set()
+        """Return an Inventory with ``states`` set and the names in ``removed`` gone."""
+        pools, pool_by_vm, copied = dict(self._pools), self._pool_by_vm, set()
 
-        def own(pool):
-            if pool not in owned:
+        def writable(pool):
+            if pool not in copied:
                 pools[pool] = dict(pools.get(pool, _EMPTY))
-                owned.add(pool)
+                copied.add(pool)
             return pools[pool]
 
-        moved = {vm.name: vm.pool for vm in states if where.get(vm.name) != vm.pool}
+        moved = {
+            vm.name: vm.pool for vm in states if pool_by_vm.get(vm.name) != vm.pool
+        }
         for name in [*removed, *moved]:
-            if name in where:
-                del own(where[name])[name]
+            if name in pool_by_vm:
+                del writable(pool_by_vm[name])[name]
         for vm in states:
-            own(vm.pool)[vm.name] = vm
-        for pool in owned:
+            writable(vm.pool)[vm.name] = vm
+        for pool in copied:
             if not pools[pool]:
                 del pools[pool]
         if moved or removed:
-            where = {**where, **moved}
+            pool_by_vm = {**pool_by_vm, **moved}
             for name in removed:
-                del where[name]
-        return Inventory(pools, where)
+                del pool_by_vm[name]
+        return Inventory(pools, pool_by_vm)
--- a/src/cardamomgrade/rollout.py
+++ b/src/cardamomgrade/rollout.py
@@ -1,7 +1,7 @@
-"""Proposals of bundles, their sign-off and their roll into a FleetState.
+"""Folds the records that propose, sign off and roll bundles into a FleetState.
 
-Each function takes the state and a record, and returns the state that follows or a
-Refusal. A proposal keeps the difference from its parent only.
+``propose``, ``sign`` and ``roll`` take the state, a record and its offset, and return
+the next state or a Refusal. A proposal stores only its difference from its parent.
 """
 
 import attrs
@@ -18,7 +18,11 @@
 
 @attrs.frozen
 class Proposal:
-    """A bundle that may be rolled; ``signer`` is empty until it is signed off."""
+    """A proposed bundle; ``signer`` is empty until it is signed off.
+
+    ``digest`` and ``parent`` are the digests of the bundle and of the one that
+    ``difference`` applies to, b"" for no parent.
+    """
 
     offset: int
     digest: bytes
@@ -29,11 +33,17 @@
 
 
 def propose(state, record, offset):
-    """Fold BundleProposed: the oldest of too many proposals is dropped."""
-    if record.digest in state.proposals or record.digest == _in_force(state):
-        return Refusal(Reason.ALREADY_DONE, f"{_short(record.digest)} is known")
-    if record.parent != _in_force(state) and record.parent not in state.proposals:
-        return _outdated(state, record.parent)
+    """Fold BundleProposed; beyond PROPOSALS_MAX the oldest proposal is dropped."""
+    if record.digest in state.proposals or record.digest == _digest_in_force(state):
+        return Refusal(
+            Reason.ALREADY_DONE,
+            f"bundle {_short_digest(record.digest)} is proposed or in force",
+        )
+    if (
+        record.parent != _digest_in_force(state)
+        and record.parent not in state.proposals
+    ):
+        return _refuse_outdated(state, record.parent)
     difference = Difference(record.sections, record.removed)
     proposal = Proposal(offset, record.digest, record.parent, record.author, difference)
     try:
@@ -41,9 +51,9 @@
         bundle = revise_bundle(parent, difference)
     except BundleError as exc:
         return Refusal(Reason.BAD_VALUE, str(exc))
-    bad = _check_proposed(state, record, parent, bundle)
-    if bad is not None:
-        return bad
+    refusal = _check_proposed(state, record, parent, bundle)
+    if refusal is not None:
+        return refusal
     proposals = {**state.proposals, record.digest: proposal}
     if len(proposals) > PROPOSALS_MAX:
         del proposals[next(iter(proposals))]
@@ -51,15 +61,16 @@
 
 
 def bundle_of(state, digest):
-    """Return the Bundle in force or proposed with ``digest``, None for no digest.
+    """Return the Bundle with ``digest``, proposed or in force.
 
-    Raises BundleError when an ancestor is no longer known.
+    Returns None for b"" when no bundle is in force. Raises BundleError when the
+    bundle or one of its ancestors was dropped or is unknown.
     """
     chain = []
-    while digest != _in_force(state):
+    while digest != _digest_in_force(state):
         proposal = state.proposals.get(digest)
         if proposal is None:
-            raise BundleError(f"{_short(digest)} is not known")
+            raise BundleError(f"bundle {_short_digest(digest)} is not known")
         chain.append(proposal.difference)
         digest = proposal.parent
     bundle = state.bundle
@@ -68,82 +79,87 @@
     return bundle
 
 
-def _in_force(state):
+def _digest_in_force(state):
     return state.bundle.digest if state.bundle else b""
 
 
-def _short(digest):
+def _short_digest(digest):
     return digest[:DIGEST_SHOWN_BYTES].hex() or "nothing"
 
 
-def _outdated(state, digest):
-    """Return the Refusal that tells an operator what won."""
+def _refuse_outdated(state, digest):
+    """Return a Refusal (OUTDATED) that names the bundle in force and its operator."""
     if state.bundle is None:
-        return Refusal(Reason.OUTDATED, f"{_short(digest)} is not known")
+        return Refusal(Reason.OUTDATED, f"bundle {_short_digest(digest)} is not known")
     return Refusal(
         Reason.OUTDATED,
-        f"{_short(digest)} is not known or was replaced; in force is version "
-        f"{state.bundle.version} {_short(state.bundle.digest)}, rolled at offset "
-        f"{state.bundle_offset} by {state.bundle_operator}",
+        f"bundle {_short_digest(digest)} is unknown or replaced; in force is version "
+        f"{state.bundle.version} {_short_digest(state.bundle.digest)}, rolled at "
+        f"offset {state.bundle_offset} by {state.bundle_operator}",
     )
 
 
 def _check_proposed(state, record, parent, bundle):
     version = parent.version + 1 if parent else 1
     if record.version != version or bundle.version != version:
-        return Refusal(Reason.BAD_VALUE, f"version is not {version}")
+        return Refusal(Reason.BAD_VALUE, f"version must be {version}")
     if bundle.digest != record.digest or bundle.author != record.author:
-        return Refusal(Reason.BAD_VALUE, "digest or author is not the bundle's")
+        return Refusal(Reason.BAD_VALUE, "digest or author differs from the bundle")
     if parent and set(bundle.seats) != set(parent.seats):
-        return Refusal(Reason.BAD_VALUE, "seats can't change once in force")
+        return Refusal(Reason.BAD_VALUE, "seats cannot change after the first bundle")
     return None
 
 
 def sign(state, record, offset):
-    """Fold BundleSigned."""
+    """Fold BundleSigned; the author cannot sign off their own bundle."""
     proposal = state.proposals.get(record.digest)
     if proposal is None:
-        return _outdated(state, record.digest)
+        return _refuse_outdated(state, record.digest)
     if proposal.signer:
-        return Refusal(Reason.ALREADY_DONE, f"signed off by {proposal.signer}")
+        return Refusal(Reason.ALREADY_DONE, f"already signed off by {proposal.signer}")
     signer = record.signer.strip()
     if not signer:
         return Refusal(Reason.BAD_VALUE, "signer is empty")
     if signer.casefold() == proposal.author.casefold():
-        return Refusal(Reason.SAME_PERSON, f"{signer} is the author")
+        return Refusal(Reason.SAME_PERSON, f"signer {signer} is also the author")
     signed = attrs.evolve(proposal, signer=signer)
     return attrs.evolve(state, proposals={**state.proposals, record.digest: signed})
 
 
 def roll(state, record, offset):
-    """Fold BundleRolled: the bundle is in force from here on."""
+    """Fold BundleRolled, which puts a signed-off bundle in force."""
     proposal = state.proposals.get(record.digest)
-    if record.digest == _in_force(state):
-        return Refusal(Reason.ALREADY_DONE, f"rolled by {state.bundle_operator}")
-    if proposal is None or proposal.parent != _in_force(state):
-        return _outdated(state, record.digest)
+    if record.digest == _digest_in_force(state):
+        return Refusal(
+            Reason.ALREADY_DONE, f"already rolled by {state.bundle_operator}"
+        )
+    if proposal is None or proposal.parent != _digest_in_force(state):
+        return _refuse_outdated(state, record.digest)
     if not proposal.signer:
-        return Refusal(Reason.NOT_SIGNED, f"{_short(record.digest)} is not signed off")
+        return Refusal(
+            Reason.NOT_SIGNED,
+            f"bundle {_short_digest(record.digest)} is not signed off",
+        )
     try:
         bundle = bundle_of(state, record.digest)
     except BundleError as exc:
         return Refusal(Reason.BAD_VALUE, str(exc))
-    return _enforce(state, record, offset, bundle)
+    return _put_in_force(state, record, offset, bundle)
 
 
-def _enforce(state, record, offset, bundle):
-    vms, changed = _assign(state, bundle)
+def _put_in_force(state, record, offset, bundle):
+    vms, changed = _assign_vms(state, bundle)
     required = required_vms(bundle)
     if state.bundle is not None:
         checks = (
             _check_batches(state, bundle, changed),
             _check_addresses(state, bundle),
             _check_pools(bundle, vms),
-            _check_services(state, vms, required),
+            _check_budgets(state, vms, required),
         )
-        for bad in checks:
-            if bad is not None:
-                return bad
+        for refusal in checks:
+            if refusal is not None:
+                return refusal
     return attrs.evolve(
         state,
         bundle=bundle,
@@ -152,42 +168,43 @@
         bundle_time_ms=state.time_ms,
         proposals=_descendants(state.proposals, record.digest),
         vms=vms,
-        retired=_retire(state, bundle),
+        retired=_retired_vms(state, bundle),
         required=required,
         deadline_peak_ms=max(state.deadline_peak_ms, bundle.longest_deadline_ms),
     )
 
 
-def _assign(state, bundle):
-    """Return the Inventory under ``bundle`` and the VMs removed or changed in place.
+def _assign_vms(state, bundle):
+    """Return the Inventory under ``bundle``, and the VMs removed or relocated.
 
-    A VM that was removed before comes back in the pool that it left, from where a
-    batch moves it: an entry that has read neither roll still knows it there.
+    A VM that an earlier bundle removed is added again in the pool that it was in,
+    and a batch moves it to its new pool: an entry that has read neither BundleRolled
+    still routes requests of the old pool to it.
     """
     old = state.bundle.vms if state.bundle else {}
     removed = [name for name in old if name not in bundle.vms]
     added = [
-        VmState(vm.name, _entry_pool(state, vm), "serving", state.time_ms)
+        VmState(vm.name, _initial_pool(state, vm), "serving", state.time_ms)
         for vm in bundle.vms.values()
         if vm.name not in old
     ]
     changed = [
         name
         for name, vm in old.items()
-        if name in bundle.vms and _moved_in_place(vm, bundle.vms[name])
+        if name in bundle.vms and _relocated(vm, bundle.vms[name])
     ]
     vms = state.vms.replace(added, removed) if added or removed else state.vms
     return vms, [*removed, *changed]
 
 
-def _entry_pool(state, vm):
-    """Return the pool in which a VM that is new to the bundle begins."""
+def _initial_pool(state, vm):
+    """Return the pool in which a VM that the bundle adds starts."""
     retired = state.retired.get(vm.name)
     return retired.pool if retired else vm.pool
 
 
-def _retire(state, bundle):
-    """Return the retired VMs under ``bundle``, {name: RetiredVm}."""
+def _retired_vms(state, bundle):
+    """Return {name: RetiredVm} of the VMs removed so far that are not in ``bundle``."""
     old = state.bundle.vms if state.bundle else {}
     removed = {
         name: RetiredVm(name, state.vms[name].pool, vm.address)
@@ -199,19 +216,20 @@
 
 
 def _check_addresses(state, bundle):
-    """Refuse a VM at an address at which entries may know another VM."""
-    holders = {vm.address: vm.name for vm in state.bundle.vms.values()}
-    holders.update({vm.address: vm.name for vm in state.retired.values()})
+    """Refuse a VM at an address that entries may still take for another VM's."""
+    names_by_address = {vm.address: vm.name for vm in state.bundle.vms.values()}
+    names_by_address.update({vm.address: vm.name for vm in state.retired.values()})
     for vm in bundle.vms.values():
-        holder = holders.get(vm.address, vm.name)
-        if holder != vm.name:
+        former_vm = names_by_address.get(vm.address, vm.name)
+        if former_vm != vm.name:
             return Refusal(
-                Reason.WRONG_STATE, f"{vm.address} of VM {vm.name} was that of {holder}"
+                Reason.WRONG_STATE,
+                f"{vm.address} of VM {vm.name} was that of {former_vm}",
             )
     return None
 
 
-def _moved_in_place(old, new):
+def _relocated(old, new):
     if old is new:
         return False
     return (old.zone, old.rack, old.address) != (new.zone, new.rack, new.address)
@@ -236,25 +254,29 @@
     return None
 
 
-def _check_services(state, vms, required):
-    """Refuse a bundle whose roll alone would leave a pool below its budget."""
-    for pool, wanted in required.items():
-        active = _active(vms, pool)
-        lowered = active < _active(state.vms, pool)
-        raised = wanted > state.required.get(pool, 0)
-        if active < wanted and (lowered or raised):
+def _check_budgets(state, vms, required):
+    """Refuse a bundle that would itself bring a pool below its required VMs.
+
+    A pool that is already below them does not block a bundle that neither removes
+    active VMs from it nor raises its requirement.
+    """
+    for pool, needed in required.items():
+        active = _active_count(vms, pool)
+        lowered = active < _active_count(state.vms, pool)
+        raised = needed > state.required.get(pool, 0)
+        if active < needed and (lowered or raised):
             return Refusal(
-                Reason.BUDGET, f"pool {pool}: {active} would serve, {wanted} must"
+                Reason.BUDGET, f"pool {pool}: {active} would serve, {needed} must"
             )
     return None
 
 
-def _active(vms, pool):
+def _active_count(vms, pool):
     return sum(vm.active for vm in vms.pool(pool).values())
 
 
 def _descendants(proposals, digest):
-    """Return the proposals that build on ``digest``, by offset."""
+    """Return the proposals that descend from ``digest``, in order of their offsets."""
     kept, known = {}, {digest}
     for proposal in proposals.values():
         if proposal.parent in known:
--- a/tests/bundle.feature
+++ b/tests/bundle.feature
@@ -11,7 +11,7 @@
     Examples:
       | section   | key         | value          | text                 |
       | bundle    | seats       |                | not a name           |
-      | bundle    | seats       | e1, e1         | a name stands twice  |
+      | bundle    | seats       | e1, e1         | a name is repeated   |
       | bundle    | version     | 0              | int from 1           |
       | bundle    | colour      | red            | unknown key          |
       | service s | pool        | nowhere        | no such pool         |
