--- a/src/cardamomgrade/bundle.py
+++ b/src/cardamomgrade/bundle.py
@@ -1,8 +1,8 @@
-"""Bundles: INI text checked into attrs classes, their difference and digest.
+"""Bundles: the fleet's configuration, parsed from INI text into attrs classes.
 
 The canonical sections of a bundle hold its checked options as text, sorted by name,
 without options that have their default value. The digest covers these sections, so
-that layout and comments of the file do not count.
+it does not depend on the layout and comments of the file.
 """
 
 import hashlib
@@ -36,7 +36,11 @@
 
 @attrs.frozen
 class Header:
-    """The section ``[bundle]``: version, author, seats and planning weights."""
+    """The section ``[bundle]``: version, author, seats and planning weights.
+
+    ``seats`` are the names of the entries that may become members of the fleet.
+    ``key_memory_s`` is how long the entries remember an idempotency key.
+    """
 
     version: int = number_field(1, VERSION_MAX)
     author: str = name_field()
@@ -49,7 +53,7 @@
 
 @attrs.frozen
 class Pool:
-    """A pool; ``slots`` and ``connections`` are the limits of each of its VMs."""
+    """A pool of VMs; ``slots`` and ``connections`` are limits of each VM."""
 
     name: str
     slots: int = number_field(1, 1024)
@@ -58,7 +62,10 @@
 
 @attrs.frozen
 class Service:
-    """A service on a pool; ``min_serving`` is its availability budget in VMs."""
+    """A service on a pool.
+
+    ``min_serving`` is its availability budget: the number of VMs that must serve.
+    """
 
     name: str
     pool: str = name_field()
@@ -72,7 +79,7 @@
 
 @attrs.frozen
 class Vm:
-    """A VM as the bundle assigns it; ``address`` is ip:port of its endpoint."""
+    """The pool and place of a VM; ``address`` is the ip:port of its endpoint."""
 
     name: str
     pool: str = name_field()
@@ -83,7 +90,11 @@
 
 @attrs.frozen
 class Wave:
-    """A maintenance wave: every VM of its pools is rebooted once in a round above 0."""
+    """A maintenance wave, which reboots each VM of its pools once per round.
+
+    Rounds count from 1; round 0 reboots nothing. ``zones`` gives the order in which
+    zones are rebooted; zones that are not named follow by name.
+    """
 
     name: str
     pools: tuple = names_field()
@@ -91,12 +102,16 @@
     zones: tuple = names_field(default=())
 
 
-_KINDS = {"pool": Pool, "service": Service, "vm": Vm, "wave": Wave}
+_SECTION_CLASSES = {"pool": Pool, "service": Service, "vm": Vm, "wave": Wave}
 
 
 @attrs.frozen
 class Difference:
-    """Sections that a bundle changes or adds, and names of those it removes."""
+    """What a bundle changes in its parent.
+
+    ``changed`` holds the Sections that are changed or added, ``removed`` the names of
+    those that are removed.
+    """
 
     changed: tuple
     removed: tuple
@@ -104,10 +119,11 @@
 
 @attrs.frozen(eq=False)
 class Bundle:
-    """A checked bundle; two bundles are equal when their digests are.
+    """A checked bundle; bundles with equal digests are equal.
 
-    ``pools``, ``services``, ``vms`` and ``waves`` are dicts by name, not to be
-    changed. ``digest`` has 32 bytes.
+    ``pools``, ``services``, ``vms`` and ``waves`` are dicts by name that must not be
+    modified. ``digest`` is a SHA-256 digest of 32 bytes, computed from those of the
+    sections, ``digests`` {section name: digest}.
     """
 
     header: Header
@@ -134,42 +150,42 @@
 
     @property
     def sections(self):
-        """The canonical sections, sorted by name."""
+        """The canonical sections as a tuple, sorted by name."""
         return tuple(self.each_section())
 
     def each_section(self):
         """Yield the canonical sections, sorted by name."""
-        for title in sorted(self._digests):
-            kind, _, item_name = title.partition(" ")
+        for section_name in sorted(self._digests):
+            section_type, _, item_name = section_name.partition(" ")
             item = self.header
-            if kind in _KINDS:
-                item = _items(self, kind)[item_name]
-            yield _section_of(title, item)
+            if section_type in _SECTION_CLASSES:
+                item = _items_of(self, section_type)[item_name]
+            yield _build_section(section_name, item)
 
     @property
     def longest_deadline_ms(self):
-        """The longest deadline of any service, 0 without services."""
+        """The longest deadline of any service, or 0 without services."""
         deadlines = (item.deadline_ms for item in self.services.values())
         return max(deadlines, default=0)
 
 
-def _items(bundle, kind):
-    return getattr(bundle, f"{kind}s")
+def _items_of(bundle, section_type):
+    return getattr(bundle, f"{section_type}s")
 
 
-def _text(value):
+def _option_text(value):
     if isinstance(value, tuple):
         return ", ".join(value)
     return str(value)
 
 
-def _section_of(title, item):
+def _build_section(section_name, item):
     options = []
     for field in attrs.fields(type(item)):
         value = getattr(item, field.name)
         if "convert" in field.metadata and value != field.default:
-            options.append((field.name, _text(value)))
-    return Section(title, tuple(sorted(options)))
+            options.append((field.name, _option_text(value)))
+    return Section(section_name, tuple(sorted(options)))
 
 
 def _section_digest(section):
@@ -177,21 +193,26 @@
     return hashlib.sha256(cbor2.dumps([section.name, options])).digest()
 
 
-def _digest(digests):
-    whole = hashlib.sha256()
-    for title in sorted(digests):
-        whole.update(digests[title])
-    return whole.digest()
+def _bundle_digest(digests):
+    combined = hashlib.sha256()
+    for section_name in sorted(digests):
+        combined.update(digests[section_name])
+    return combined.digest()
 
 
 def _parse_section(section, path):
-    """Return the item that a section describes."""
+    """Return the Header, Pool, Service, Vm or Wave of a section.
+
+    Raises BundleError when its name or one of its options is invalid.
+    """
     cls, values = Header, {}
     if section.name != BUNDLE_SECTION:
-        kind, _, item_name = section.name.partition(" ")
-        cls = _KINDS.get(kind)
+        section_type, _, item_name = section.name.partition(" ")
+        cls = _SECTION_CLASSES.get(section_type)
         if cls is None:
-            allowed = "[bundle], " + ", ".join(f"[{kind} NAME]" for kind in _KINDS)
+            allowed = "[bundle], " + ", ".join(
+                f"[{section_type} NAME]" for section_type in _SECTION_CLASSES
+            )
             raise BundleError(
                 f"{path}: unknown section [{section.name}]; allowed: {allowed}"
             )
@@ -232,7 +253,7 @@
 def parse_bundle(text, path="bundle"):
     """Return the Bundle of INI text.
 
-    Raises BundleError naming file, section, key, value and what is allowed.
+    Raises BundleError with the file, section, key, value and what is allowed.
     """
     try:
         parser = read_ini(path, text)
@@ -241,46 +262,54 @@
     if parser.defaults():
         raise BundleError(f"{path}: section [DEFAULT] is not allowed")
     sections = (
-        Section(title, tuple(sorted(parser[title].items())))
-        for title in parser.sections()
+        Section(section_name, tuple(sorted(parser[section_name].items())))
+        for section_name in parser.sections()
     )
     return bundle_from_sections(tuple(sections), path)
 
 
 def bundle_from_sections(sections, path="bundle"):
-    """Return the Bundle of an iterable of sections.
+    """Return the Bundle of an iterable of Sections.
 
-    Raises BundleError when they are no valid bundle.
+    Raises BundleError when they are not a valid bundle.
     """
     return revise_bundle(None, Difference(sections, ()), path)
 
 
 def revise_bundle(parent, difference, path="bundle"):
-    """Return ``parent`` (or nothing, when None) with a Difference applied.
+    """Return the Bundle that a Difference makes of ``parent``, None for no parent.
 
-    Only the changed sections are parsed; raises BundleError when the outcome is not
-    a valid bundle.
+    Only the changed sections are parsed. Raises BundleError when the result is not a
+    valid bundle.
     """
     header = parent.header if parent else None
-    maps = {kind: dict(_items(parent, kind)) if parent else {} for kind in _KINDS}
+    items_by_type = {
+        section_type: dict(_items_of(parent, section_type)) if parent else {}
+        for section_type in _SECTION_CLASSES
+    }
     digests = dict(parent._digests) if parent else {}
-    for title in difference.removed:
-        kind, _, item_name = title.partition(" ")
-        if kind not in maps or item_name not in maps[kind]:
-            raise BundleError(f"{path}: [{title}] is removed but not in the parent")
-        del maps[kind][item_name]
-        del digests[title]
+    for section_name in difference.removed:
+        section_type, _, item_name = section_name.partition(" ")
+        if (
+            section_type not in items_by_type
+            or item_name not in items_by_type[section_type]
+        ):
+            raise BundleError(
+                f"{path}: [{section_name}] is removed but missing in the parent"
+            )
+        del items_by_type[section_type][item_name]
+        del digests[section_name]
     for section in difference.changed:
         item = _parse_section(section, path)
         if section.name == BUNDLE_SECTION:
             header = item
         else:
-            maps[section.name.partition(" ")[0]][item.name] = item
-        digests[section.name] = _section_digest(_section_of(section.name, item))
+            items_by_type[section.name.partition(" ")[0]][item.name] = item
+        digests[section.name] = _section_digest(_build_section(section.name, item))
     if header is None:
         raise BundleError(f"{path}: missing section [{BUNDLE_SECTION}]")
-    pools, services, vms, waves = maps.values()
-    digest = _digest(digests)
+    pools, services, vms, waves = items_by_type.values()
+    digest = _bundle_digest(digests)
     bundle = Bundle(header, pools, services, vms, waves, digest, digests)
     _check_references(bundle, path)
     _check_vms(bundle, path)
@@ -325,7 +354,7 @@
         if service.min_serving > size:
             raise BundleError(
                 f"{path}: [service {service.name}] min_serving = "
-                f"{service.min_serving}; allowed: up to {size}, the VMs of its pool"
+                f"{service.min_serving}; allowed: up to {size}, the size of its pool"
             )
     for wave in bundle.waves.values():
         for zone in wave.zones:
@@ -336,19 +365,23 @@
 
 
 def diff_sections(old_sections, new_sections):
-    """Return the Difference from the old to the new sections."""
+    """Return the Difference that turns the old sections into the new ones."""
     old = {section.name: section for section in old_sections}
     new = {section.name: section for section in new_sections}
-    changed = [section for title, section in new.items() if old.get(title) != section]
-    removed = [title for title in old if title not in new]
+    changed = [
+        section
+        for section_name, section in new.items()
+        if old.get(section_name) != section
+    ]
+    removed = [section_name for section_name in old if section_name not in new]
     changed.sort(key=lambda section: section.name)
     return Difference(tuple(changed), tuple(sorted(removed)))
 
 
 def apply_sections(sections, changed, removed):
-    """Return sections, sorted by name, with a difference applied."""
+    """Return the tuple of sections after a difference, sorted by name."""
     merged = {section.name: section for section in sections}
-    for title in removed:
-        merged.pop(title, None)
+    for section_name in removed:
+        merged.pop(section_name, None)
     merged.update((section.name, section) for section in changed)
-    return tuple(merged[title] for title in sorted(merged))
+    return tuple(merged[section_name] for section_name in sorted(merged))
--- a/src/cardamomgrade/chart.py
+++ b/src/cardamomgrade/chart.py
@@ -1,7 +1,7 @@
 """State charts: transition tables in INI files and their interpreter.
 
-The section ``[chart]`` names the ``initial`` state. Every other section is a state
-that maps the triggers it accepts to the state that follows.
+The section ``[chart]`` names the ``initial`` state. Each other section is a state and
+maps the triggers that it accepts to the next state.
 """
 
 from pathlib import Path
@@ -12,7 +12,7 @@
 from .refusal import Reason, Refusal
 from .settings import read_ini
 
-CHARTS = Path(__file__).parent / "charts"
+CHARTS_DIR = Path(__file__).parent / "charts"
 CHART_SECTION = "chart"
 
 
@@ -25,17 +25,22 @@
     transitions: dict
 
     def next(self, state, trigger):
-        """Return the state after ``trigger``, or a Refusal (WRONG_STATE)."""
-        following = self.transitions[state].get(trigger)
-        if following is None:
+        """Return the state that follows ``trigger``, or a Refusal (WRONG_STATE)."""
+        next_state = self.transitions[state].get(trigger)
+        if next_state is None:
             return Refusal(
-                Reason.WRONG_STATE, f"{self.name} is {state}: {trigger} not possible"
+                Reason.WRONG_STATE,
+                f"{self.name} is {state} and does not accept {trigger}",
             )
-        return following
+        return next_state
 
 
 def parse_chart(name, text):
-    """Return the Chart of INI text; raise ChartError when it is not whole."""
+    """Return the Chart of INI text.
+
+    Raises ChartError when it is not valid INI, names an unknown state or has a state
+    that cannot be reached.
+    """
     try:
         parser = read_ini(name, text)
     except SettingsError as exc:
@@ -51,31 +56,34 @@
         targets.update(
             (target, f"[{state}] {trigger}") for trigger, target in table.items()
         )
-    for target, place in targets.items():
+    for target, origin in targets.items():
         if target not in states:
             allowed = ", ".join(states)
             raise ChartError(
-                f"{name}: {place} = {target!r}: unknown state; allowed: {allowed}"
+                f"{name}: {origin} = {target!r}: unknown state; allowed: {allowed}"
             )
     _check_reachable(name, initial, states)
     return Chart(name, initial, states)
 
 
 def _check_reachable(name, initial, states):
-    seen, waiting = set(), [initial]
-    while waiting:
-        state = waiting.pop()
-        if state not in seen:
-            seen.add(state)
-            waiting.extend(states[state].values())
-    lost = [state for state in states if state not in seen]
-    if lost:
-        raise ChartError(f"{name}: [{lost[0]}]: state is never reached")
+    reached, pending = set(), [initial]
+    while pending:
+        state = pending.pop()
+        if state not in reached:
+            reached.add(state)
+            pending.extend(states[state].values())
+    unreachable = [state for state in states if state not in reached]
+    if unreachable:
+        raise ChartError(f"{name}: [{unreachable[0]}]: state cannot be reached")
 
 
 def load_chart(name):
-    """Return the Chart of ``charts/NAME.ini``; raise ChartError."""
-    path = CHARTS / f"{name}.ini"
+    """Return the Chart of ``charts/NAME.ini`` in the package.
+
+    Raises ChartError when the file is missing or not a valid chart.
+    """
+    path = CHARTS_DIR / f"{name}.ini"
     try:
         text = path.read_text()
     except OSError as exc:
--- a/src/cardamomgrade/estate.py
+++ b/src/cardamomgrade/estate.py
@@ -1,4 +1,4 @@
-"""Client of the platform's VM interface: its lagging VM list and reboots."""
+"""Client of the platform's VM interface: the VM list, which may lag, and reboots."""
 
 import json
 import sys
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class ListedVm:
-    """A VM as the platform's list shows it; ``fence`` is of its last reboot."""
+    """A VM in the platform's list; ``fence`` is that of its last reboot."""
 
     vm: str
     kind: str
@@ -33,16 +33,16 @@
 
 @attrs.frozen
 class RebootTaken:
-    """The platform took a reboot under ``fence``."""
+    """The platform accepted a reboot with ``fence``."""
 
     vm: str
     fence: int
 
 
 def parse_list(body):
-    """Return the ListedVm by name in the bytes of a VM list.
+    """Return {name: ListedVm} of a VM list in JSON.
 
-    Raises PlatformError when the bytes are no VM list.
+    Raises PlatformError when ``body`` is not a valid VM list.
     """
     try:
         items = json.loads(body)
@@ -56,33 +56,35 @@
 
 
 def _parse_item(item):
-    texts = [sys.intern(item[name]) for name in _TEXT_FIELDS]
-    listed = ListedVm(*texts, item["fence"])
+    text_values = [sys.intern(item[name]) for name in _TEXT_FIELDS]
+    listed = ListedVm(*text_values, item["fence"])
     if listed.kind not in KINDS or listed.state not in STATES:
-        raise ValueError(f"unknown kind or state of {listed.vm}")
+        raise ValueError(
+            f"VM {listed.vm}: unknown kind {listed.kind!r} or state {listed.state!r}"
+        )
     if not isinstance(listed.fence, int) or isinstance(listed.fence, bool):
-        raise ValueError(f"fence of {listed.vm} is no number")
+        raise ValueError(f"VM {listed.vm}: fence is not an integer")
     return listed
 
 
 class Estate:
-    """Asks the platform; each call reports its outcome exactly once.
+    """Client of the platform; each call reports its outcome exactly once.
 
-    ``list_bytes`` is the size of the last VM list.
+    ``list_bytes`` is the size of the last VM list as received.
     """
 
     def __init__(self, loop, net, address):
         self._reads = Requester(loop, net, address, LIST_LIMIT_BYTES)
-        self._calls = Requester(loop, net, address)
+        self._reboots = Requester(loop, net, address)
         self._host = ((b"host", address.encode()),)
         self.list_bytes = 0
 
     def list_vms(self, on_done):
-        """Call ``on_done`` with a dict of ListedVm by name, or a Refusal."""
+        """Request the VM list; call ``on_done`` with {name: ListedVm} or a Refusal."""
 
         def done(result):
             if not isinstance(result, HttpResponse) or result.status != 200:
-                on_done(_no_answer(result))
+                on_done(_failed_call(result))
                 return
             self.list_bytes = len(result.body)
             try:
@@ -96,10 +98,10 @@
         )
 
     def reboot(self, vm, fence, on_done):
-        """Call ``on_done`` with RebootTaken or a Refusal.
+        """Request a reboot; call ``on_done`` with RebootTaken or a Refusal.
 
-        ``Reason.OUTDATED``: the platform knows a fence as high; ``UNAVAILABLE``: it
-        did nothing; ``UNKNOWN``: it may have taken the call.
+        ``Reason.OUTDATED``: the platform has seen this or a higher fence;
+        ``UNAVAILABLE``: the request had no effect; ``UNKNOWN``: it may have had one.
         """
 
         def done(result):
@@ -108,16 +110,18 @@
             elif isinstance(result, HttpResponse) and result.status == 409:
                 on_done(Refusal(Reason.OUTDATED, f"{vm}: fence {fence} is not newer"))
             else:
-                on_done(_no_answer(result))
+                on_done(_failed_call(result))
 
         body = json.dumps({"fence": fence}).encode()
         headers = (*self._host, (b"content-type", b"application/json"))
         req = HttpRequest("POST", f"/vms/{vm}/reboot", headers, body)
-        self._calls.request(req, done, REBOOT_TIMEOUT_S)
+        self._reboots.request(req, done, REBOOT_TIMEOUT_S)
 
 
-def _no_answer(result):
+def _failed_call(result):
     if isinstance(result, HttpResponse):
-        return Refusal(Reason.UNAVAILABLE, f"platform answered {result.status}")
+        return Refusal(
+            Reason.UNAVAILABLE, f"platform responded with status {result.status}"
+        )
     reason = Reason.UNKNOWN if result.sent else Reason.UNAVAILABLE
     return Refusal(reason, result.detail)
--- a/src/cardamomgrade/settings.py
+++ b/src/cardamomgrade/settings.py
@@ -1,7 +1,7 @@
-"""INI settings files checked into attrs classes.
+"""Loads INI settings files into attrs classes.
 
-A settings class is an attrs class whose fields were made with ``option``. The
-section of an option is given there and its key is the field's name or ``key``.
+A settings class is an attrs class whose fields are made by ``option``. Each field is
+one key of a section; only the section ``[peers]`` is a single field as a whole.
 """
 
 import configparser
@@ -13,14 +13,16 @@
 from .errors import SettingsError
 
 PEERS_SECTION = "peers"
-HIDDEN = "(hidden)"
+HIDDEN_VALUE = "(hidden)"
 
 
 def option(section, convert, allowed, default=attrs.NOTHING, secret=False, key=None):
-    """Return an attrs field read from ``[section]``; ``allowed`` is for people.
+    """Return an attrs field for a key of ``[section]``.
 
-    The value of a secret option is never shown. ``key`` is given when the key in the
-    file differs from the field's name.
+    ``convert`` returns the value of the option's text or raises ValueError;
+    ``allowed`` describes the allowed values in error messages. The value of a secret
+    option is never displayed. ``key`` is the key in the file if it differs from the
+    field's name.
     """
     metadata = {
         "section": section,
@@ -36,11 +38,11 @@
     return field.metadata["key"] or field.name
 
 
-def number(low, high, kind=int):
-    """Return a converter for a number from ``low`` to ``high``."""
+def number(low, high, number_type=int):
+    """Return a converter for a number from ``low`` to ``high``, both allowed."""
 
     def convert(text):
-        value = kind(text)
+        value = number_type(text)
         if not low <= value <= high:
             raise ValueError("out of range")
         return value
@@ -53,35 +55,41 @@
 
     def convert(text):
         if text not in names:
-            raise ValueError("not one of the names")
+            raise ValueError("not an allowed value")
         return text
 
     return convert
 
 
 def address(text):
-    """Return ``text`` when it is an IP number and a port."""
+    """Return ``text`` if it is an IPv4 address and a port, else raise ValueError."""
     host, separator, port = text.rpartition(":")
     ipaddress.IPv4Address(host)
     if not separator or not 0 <= int(port) <= 65535:
-        raise ValueError("not ip:port")
+        raise ValueError("not of the form ip:port")
     return text
 
 
 def name(text):
-    """Return ``text`` when it is a plain name."""
+    """Return ``text`` if it is a name of letters, digits, - and _.
+
+    Raises ValueError otherwise.
+    """
     if not text or not text.replace("-", "").replace("_", "").isalnum():
         raise ValueError("not a name")
     return text
 
 
 def addresses(section):
-    """Return a whole section of ``name = ip:port`` as a tuple of pairs."""
+    """Return a section of ``name = ip:port`` keys as a tuple of pairs."""
     return tuple((name(key), address(value)) for key, value in section.items())
 
 
 def read_ini(path, text=None):
-    """Return a ConfigParser for a file; raise SettingsError when it is no INI."""
+    """Return a ConfigParser of ``text``, or of the file at ``path`` without a text.
+
+    Raises SettingsError when the file cannot be read or is not valid INI.
+    """
     parser = configparser.ConfigParser(interpolation=None, strict=True)
     parser.optionxform = str
     try:
@@ -94,27 +102,27 @@
 def load_settings(cls, path):
     """Return an instance of a settings class read from an INI file.
 
-    Raises SettingsError naming the file, section, key, value and what is allowed.
+    Raises SettingsError with the file, section, key, value and what is allowed.
     """
     parser = read_ini(path)
-    by_section = {}
+    fields_by_section = {}
     for field in attrs.fields(cls):
-        by_section.setdefault(field.metadata["section"], {})[_key(field)] = field
+        fields_by_section.setdefault(field.metadata["section"], {})[_key(field)] = field
     values = {}
     for section in parser.sections():
-        if section not in by_section:
-            allowed = ", ".join(sorted(by_section))
+        if section not in fields_by_section:
+            allowed = ", ".join(sorted(fields_by_section))
             raise SettingsError(
                 f"{path}: unknown section [{section}]; allowed: {allowed}"
             )
         if section == PEERS_SECTION:
-            field = by_section[section][PEERS_SECTION]
+            field = fields_by_section[section][PEERS_SECTION]
             values[field.name] = _convert(path, section, field, parser[section])
             continue
         for key, text in parser[section].items():
-            field = by_section[section].get(key)
+            field = fields_by_section[section].get(key)
             if field is None:
-                allowed = ", ".join(sorted(by_section[section]))
+                allowed = ", ".join(sorted(fields_by_section[section]))
                 raise SettingsError(
                     f"{path}: unknown key [{section}] {key}; allowed: {allowed}"
                 )
@@ -133,7 +141,7 @@
         return field.metadata["convert"](text)
     except ValueError as exc:
         allowed = field.metadata["allowed"]
-        shown = HIDDEN if field.metadata["secret"] else text
+        shown = HIDDEN_VALUE if field.metadata["secret"] else text
         shown = shown if isinstance(shown, str) else dict(shown)
         raise SettingsError(
             f"{path}: [{section}] {_key(field)} = {shown!r}: {exc}; allowed: {allowed}"
@@ -141,7 +149,7 @@
 
 
 def settings_text(cfg):
-    """Return checked settings as INI text."""
+    """Return loaded settings as INI text, with the values of secrets hidden."""
     lines, current = [], None
     for field in sorted(attrs.fields(type(cfg)), key=lambda f: f.metadata["section"]):
         section = field.metadata["section"]
@@ -152,6 +160,6 @@
         if section == PEERS_SECTION:
             lines.extend(f"{key} = {item}" for key, item in value)
         else:
-            shown = HIDDEN if field.metadata["secret"] else value
+            shown = HIDDEN_VALUE if field.metadata["secret"] else value
             lines.append(f"{_key(field)} = {shown}")
     return "\n".join(lines) + "\n"
--- a/src/cardamomgrade/text.py
+++ b/src/cardamomgrade/text.py
@@ -1,10 +1,10 @@
-"""Text for people: plain data as indented lines, differences of bundles."""
+"""Formats plain data and differences of bundles as text for operators."""
 
 INDENT = "  "
 
 
 def render(value, depth=0):
-    """Return plain data as indented ``name: value`` lines."""
+    """Return nested dicts, lists and scalars as indented ``name: value`` lines."""
     pad = INDENT * depth
     if isinstance(value, dict):
         return "".join(_render_item(pad, *pair, depth) for pair in value.items())
@@ -29,13 +29,13 @@
 
 
 def diff_text(sections, difference):
-    """Return a Difference from ``sections`` as lines with ``-`` and ``+``."""
+    """Return a Difference from ``sections`` as lines that begin with ``-`` or ``+``."""
     old = {section.name: dict(section.options) for section in sections}
     lines = [f"-[{title}]" for title in difference.removed]
     for section in difference.changed:
         before, after = old.get(section.name), dict(section.options)
-        mark = "+" if before is None else " "
-        lines.append(f"{mark}[{section.name}]")
+        sign = "+" if before is None else " "
+        lines.append(f"{sign}[{section.name}]")
         before = before or {}
         for key in sorted(before.keys() | after.keys()):
             if before.get(key) != after.get(key):
--- a/src/cardamomgrade/watch.py
+++ b/src/cardamomgrade/watch.py
@@ -1,13 +1,13 @@
-"""Compares successive VM lists of the platform with the folded state.
+"""Compares the platform's successive VM lists with the folded fleet state.
 
-Times are seconds of one monotonic clock.
+All times are seconds of one monotonic clock.
 """
 
 import attrs
 
 from .records import MemberGone, RebootOrdered, VmFailed, VmJoined, VmRecovered
 
-CONFIRMING_POLLS = 2
+CONFIRM_POLLS = 2
 GONE_S = 10.0
 REORDER_S = 10.0
 PHASE_REBOOTING = "rebooting"
@@ -17,8 +17,8 @@
 
 
 @attrs.define
-class _Sight:
-    """For how many polls a VM has looked the same, and since when."""
+class _Observation:
+    """A VM's state in the last ``polls`` lists, the first of them at ``since``."""
 
     state: str
     polls: int
@@ -26,37 +26,40 @@
 
 
 @attrs.define
-class _Order:
-    """When the last reboot order of a VM was first seen."""
+class _RebootOrder:
+    """The fence of a VM's last reboot order, and when it was first seen."""
 
     fence: int
     since: float
 
 
 class Watch:
-    """Turns what the VM lists show into records that the log does not hold yet."""
+    """Derives records from the VM lists that the log does not contain yet.
+
+    ``control`` is the name of the control that appends them.
+    """
 
     def __init__(self, control):
         self._control = control
         self._listed = {}
-        self._sights = {}
+        self._observations = {}
         self._entries = set()
         self._missing_since = {}
         self._orders = {}
 
     @property
     def listed(self):
-        """The last list, ListedVm by name."""
+        """The last list as {name: ListedVm}."""
         return self._listed
 
     def take(self, listed, now):
-        """Take a new list: a dict of ListedVm by name."""
+        """Update the observations from a new list, {name: ListedVm}."""
         self._listed = listed
-        for name in self._sights.keys() - listed.keys():
-            self._sight(name, STATE_FAILED, now)
+        for name in self._observations.keys() - listed.keys():
+            self._observe(name, STATE_FAILED, now)
         for name, item in listed.items():
             state = STATE_FAILED if item.state == STATE_FAILED else STATE_LIVE
-            self._sight(name, state, now)
+            self._observe(name, state, now)
             if item.kind == KIND_ENTRY:
                 self._entries.add(name)
         self._missing_since = {
@@ -64,28 +67,28 @@
             for name in self._entries - listed.keys()
         }
 
-    def _sight(self, name, state, now):
-        sight = self._sights.get(name)
-        if sight is None or sight.state != state:
-            self._sights[name] = _Sight(state, 1, now)
+    def _observe(self, name, state, now):
+        observation = self._observations.get(name)
+        if observation is None or observation.state != state:
+            self._observations[name] = _Observation(state, 1, now)
         else:
-            sight.polls += 1
+            observation.polls += 1
 
     def records(self, state, now):
-        """Return the records that the lists call for, given the folded state."""
-        found = []
+        """Return the records that should follow ``state`` according to the lists."""
+        due_records = []
         for name, vm in state.vms.items():
             if vm.phase == PHASE_REBOOTING:
-                found += self._reboot_records(vm, now)
-            found += self._failure_records(name, vm)
+                due_records += self._reboot_records(vm, now)
+            due_records += self._failure_records(name, vm)
         for name, member in state.members.items():
-            found += self._member_records(name, member, now)
-        return found
+            due_records += self._member_records(name, member, now)
+        return due_records
 
     def _reboot_records(self, vm, now):
         order = self._orders.get(vm.name)
         if order is None or order.fence != vm.fence:
-            order = self._orders[vm.name] = _Order(vm.fence, now)
+            order = self._orders[vm.name] = _RebootOrder(vm.fence, now)
         item = self._listed.get(vm.name)
         if item is None:
             return []
@@ -96,24 +99,24 @@
         return []
 
     def _failure_records(self, name, vm):
-        sight = self._sights.get(name)
-        if sight is None or sight.polls < CONFIRMING_POLLS:
+        observation = self._observations.get(name)
+        if observation is None or observation.polls < CONFIRM_POLLS:
             return []
-        if sight.state == STATE_FAILED and not vm.failed:
+        if observation.state == STATE_FAILED and not vm.failed:
             return [VmFailed(name, self._control)]
-        if sight.state == STATE_LIVE and vm.failed and self._is_live(name):
+        if observation.state == STATE_LIVE and vm.failed and self._is_listed_live(name):
             return [VmRecovered(name, self._control)]
         return []
 
-    def _is_live(self, name):
+    def _is_listed_live(self, name):
         item = self._listed.get(name)
         return item is not None and item.state == STATE_LIVE
 
     def _member_records(self, name, member, now):
-        """Return MemberGone of an entry whose VM is listed no more.
+        """Return MemberGone for an entry whose VM has not been listed for GONE_S.
 
-        An entry that is listed as failed may be frozen: it could wake and send, so
-        that it stays in the barrier.
+        An entry that is listed as failed may only be frozen and could resume sending
+        requests, so it stays a member whose acknowledgement is required.
         """
         since = self._missing_since.get(name)
         if since is None or now - since < GONE_S:
--- a/tests/chart.feature
+++ b/tests/chart.feature
@@ -12,7 +12,7 @@
       | [chart];initial=b;[a];go=a                  | unknown state   |
       | [a];go=a                                    | unknown state   |
       | [chart];initial=a;[a];go=a;go=a             | already exists  |
-      | [chart];initial=a;[a];go=a;[b];go=a         | never reached   |
+      | [chart];initial=a;[a];go=a;[b];go=a         | cannot be reached |
 
   Scenario: a trigger that a state does not accept is refused
     Then the chart "vm" refuses "reboot_ordered" when "serving"
