--- a/tests/estate.feature
+++ b/tests/estate.feature
@@ -1,9 +1,9 @@
 Feature: estate
 
-  Scenario: bytes that are no VM list are refused
-    Then generated JSON is a VM list or a platform error
+  Scenario: a response that is not a VM list is rejected
+    Then generated JSON is parsed as a VM list or raises PlatformError
 
-  Scenario: the outcomes of a platform call are told apart
-    Given a platform that answers 200, 409, 503 and then nothing
-    Then reboots are taken, outdated, unavailable and unknown in turn
-    And a platform that is gone did nothing
+  Scenario: the outcomes of a platform call are distinguished
+    Given a platform that responds with 200, 409, 503 and then not at all
+    Then reboots are accepted, outdated, unavailable and unknown in turn
+    And a reboot is unavailable when the platform cannot be reached
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -1,4 +1,4 @@
-"""A small folded fleet for tests: two pools, two entries, one batch."""
+"""A small fleet for tests: two pools, two entries and at most one batch."""
 
 import attrs
 
@@ -25,7 +25,10 @@
 
 
 def bundle_text(addresses=None, round_=1, version=1):
-    """Return a bundle of two pools; ``addresses`` maps VM names to ip:port."""
+    """Return the text of a bundle of two pools.
+
+    ``addresses`` maps VM names to ip:port, ``round_`` is the round of wave w.
+    """
     lines = [
         "[bundle]",
         f"version = {version}",
@@ -45,12 +48,12 @@
 
 
 def vm_names():
-    """Return the names of all VMs."""
+    """Return the names of all VMs, such as a1."""
     return [f"{pool}{index + 1}" for pool in POOLS for index in range(VMS_PER_POOL)]
 
 
 def rollout(bundle):
-    """Return the records that put a first bundle in force."""
+    """Return the records that put the first bundle in force."""
     sections = bundle.sections
     return [
         BundleProposed(bundle.version, b"", bundle.digest, bundle.author, sections, ()),
@@ -61,13 +64,13 @@
 
 @attrs.frozen
 class FleetLog:
-    """Records as logged and the state after them."""
+    """A list of Logged and the FleetState after them."""
 
     logged: list
     state: object
 
 
-def _log(records):
+def _replay(records):
     logged = [Logged(index, TIME_MS, item) for index, item in enumerate(records)]
     replica = Replica()
     for step in replica.take(logged):
@@ -75,24 +78,24 @@
     return FleetLog(logged, replica.state)
 
 
-def _opening():
+def _initial_records():
     records = rollout(parse_bundle(bundle_text()))
     records += [MemberJoined(name, 1, "z0", "127.0.0.1:1") for name in ENTRIES]
     return records
 
 
 def fleet_log():
-    """Return the FleetLog of a fleet that serves, with one failed VM."""
-    return _log([*_opening(), VmFailed("b4", "c")])
+    """Return the FleetLog of a fleet in service, with one failed VM and no batch."""
+    return _replay([*_initial_records(), VmFailed("b4", "c")])
 
 
 def rebooting_state(vm):
-    """Return the state in which ``vm`` reboots, and the fence of its order."""
-    records = _opening()
+    """Return the state in which ``vm`` reboots, and the fence of its reboot order."""
+    records = _initial_records()
     batch = len(records)
     records.append(BatchOpened("w", 1, (vm,), "", batch - 1, "c"))
     records += [BatchAcked(name, 1, batch) for name in ENTRIES]
     records.append(DrainStarted(batch, "c"))
     records += [DrainConfirmed(name, 1, batch) for name in ENTRIES]
     records.append(RebootOrdered(batch, vm, "c"))
-    return _log(records).state, len(records) - 1
+    return _replay(records).state, len(records) - 1
--- a/tests/steps/bundle.py
+++ b/tests/steps/bundle.py
@@ -1,4 +1,4 @@
-"""Steps for the bundle module, and the estate that the fleet's steps share."""
+"""Steps for the bundle module, and the bundle that the fleet's steps share."""
 
 from behave import then, when
 from hypothesis import given, settings, strategies as st
@@ -17,8 +17,12 @@
 
 
 def bundle_options(version=1, a_vms=4, b_vms=2, moved=(), **changes):
-    """Return {section: {option: text}} of pools a and b, racks of two VMs."""
-    estate = {
+    """Return {section: {option: text}} of a bundle with the pools a and b.
+
+    Racks have two VMs; the VMs in ``moved`` are assigned to pool b. ``changes`` maps
+    sections, with ``_`` for the space, to options that are set.
+    """
+    sections = {
         "bundle": {"version": version, "author": "ada", "seats": "e1, e2"},
         "pool a": {"slots": 8, "connections": 64},
         "pool b": {"slots": 8, "connections": 64},
@@ -29,32 +33,32 @@
     for pool, count in (("a", a_vms), ("b", b_vms)):
         for index in range(count):
             vm = f"{pool}{index}"
-            estate[f"vm {vm}"] = {
+            sections[f"vm {vm}"] = {
                 "pool": "b" if vm in moved else pool,
                 "zone": f"z{index % 2}",
                 "rack": f"r{pool}{index % 2}{index // 4}",
                 "address": f"127.0.0.1:{9000 + index + 500 * (pool == 'b')}",
             }
     for section, options in changes.items():
-        estate.setdefault(section.replace("_", " ", 1), {}).update(options)
-    return estate
+        sections.setdefault(section.replace("_", " ", 1), {}).update(options)
+    return sections
 
 
-def bundle_text(estate):
+def bundle_text(sections):
     lines = []
-    for section, options in estate.items():
+    for section, options in sections.items():
         lines.append(f"[{section}]")
         lines += [f"{key} = {value}" for key, value in options.items()]
     return "\n".join(lines) + "\n"
 
 
-def estate_bundle(**changes):
+def make_bundle(**changes):
     return parse_bundle(bundle_text(bundle_options(**changes)))
 
 
-def any_bundle():
+def bundles():
     return st.builds(
-        estate_bundle,
+        make_bundle,
         version=st.integers(1, 5),
         a_vms=st.integers(1, 9),
         b_vms=st.integers(2, 5),
@@ -63,10 +67,10 @@
     )
 
 
-@then("every generated bundle equals the one read from its sections")
+@then("every generated bundle equals the one that its sections give")
 def step_sections(context):
     @FIXED
-    @given(any_bundle())
+    @given(bundles())
     def check(bundle):
         again = bundle_from_sections(bundle.sections)
         assert again == bundle and again.vms == bundle.vms
@@ -75,10 +79,10 @@
     check()
 
 
-@then("every generated pair of bundles is joined by its difference")
+@then("the difference of every generated pair of bundles turns one into the other")
 def step_difference(context):
     @FIXED
-    @given(any_bundle(), any_bundle())
+    @given(bundles(), bundles())
     def check(old, new):
         difference = diff_sections(old.sections, new.sections)
         applied = apply_sections(old.sections, difference.changed, difference.removed)
@@ -90,9 +94,9 @@
 
 @when('the bundle option "{section}" "{key}" is set to "{value}"')
 def step_set_option(context, section, key, value):
-    estate = bundle_options()
-    estate.setdefault(section, {})[key] = value
-    context.bundle_text = bundle_text(estate)
+    sections = bundle_options()
+    sections.setdefault(section, {})[key] = value
+    context.bundle_text = bundle_text(sections)
 
 
 @when('the bundle option "{section}" "{key}" is set to ""')
@@ -100,7 +104,7 @@
     step_set_option(context, section, key, "")
 
 
-@then('the bundle is refused naming "{section}" and "{text}"')
+@then('the bundle is rejected with an error that names "{section}" and "{text}"')
 def step_refused(context, section, text):
     try:
         parse_bundle(context.bundle_text, "trial.ini")
--- a/tests/steps/chart.py
+++ b/tests/steps/chart.py
@@ -7,13 +7,13 @@
 from cardamomgrade.refusal import Reason
 
 
-@then('the chart "{name}" begins at "{state}" and the chart "{other}" at "{begin}"')
-def step_initial(context, name, state, other, begin):
+@then('the chart "{name}" starts in "{state}" and the chart "{other}" in "{initial}"')
+def step_initial(context, name, state, other, initial):
     assert load_chart(name).initial == state
-    assert load_chart(other).initial == begin
+    assert load_chart(other).initial == initial
 
 
-@then('the chart text "{text}" is refused with "{error}"')
+@then('the chart text "{text}" is rejected with "{error}"')
 def step_bad_chart(context, text, error):
     try:
         parse_chart("trial.ini", text.replace(";", "\n"))
--- a/tests/steps/estate.py
+++ b/tests/steps/estate.py
@@ -23,7 +23,7 @@
 )
 
 
-@then("generated JSON is a VM list or a platform error")
+@then("generated JSON is parsed as a VM list or raises PlatformError")
 def step_parse(context):
     @FIXED
     @given(st.lists(ITEMS | SCALARS, max_size=3) | SCALARS)
@@ -41,7 +41,7 @@
     check()
 
 
-@given_step("a platform that answers 200, 409, 503 and then nothing")
+@given_step("a platform that responds with 200, 409, 503 and then not at all")
 def step_platform(context):
     context.loop = Loop()
     context.net = Net(context.loop)
@@ -58,7 +58,7 @@
     context.address = f"127.0.0.1:{server.listen('127.0.0.1', 0)}"
 
 
-@then("reboots are taken, outdated, unavailable and unknown in turn")
+@then("reboots are accepted, outdated, unavailable and unknown in turn")
 def step_reboots(context):
     estate = Estate(context.loop, context.net, context.address)
     results = [
@@ -68,10 +68,10 @@
     assert results[0] == RebootTaken("a1", 1)
     reasons = [result.reason for result in results[1:]]
     assert reasons == [Reason.OUTDATED, Reason.UNAVAILABLE, Reason.UNKNOWN], reasons
-    assert context.fences == [1, 2, 3, 4], "a call was repeated or lost"
+    assert context.fences == [1, 2, 3, 4], "a call was repeated or not sent"
 
 
-@then("a platform that is gone did nothing")
+@then("a reboot is unavailable when the platform cannot be reached")
 def step_gone(context):
     context.net.close_listeners()
     estate = Estate(context.loop, context.net, context.address)
