--- a/src/cardamomgrade/bundle.py
+++ b/src/cardamomgrade/bundle.py
@@ -38,7 +38,7 @@
 class Header:
     """The section ``[bundle]``: version, author, seats and planning weights.
 
-    ``seats`` are the names of the entries that may become members of the fleet.
+    ``seats`` are the names of the entries that share the slots and connections.
     ``key_memory_s`` is how long the entries remember an idempotency key.
     """
 
--- a/src/cardamomgrade/fleet.py
+++ b/src/cardamomgrade/fleet.py
@@ -28,7 +28,7 @@
 
 @attrs.frozen
 class Member:
-    """An entry (request router) that holds its seat, a name listed in the bundle.
+    """An entry (a process that routes requests) that holds the seat of its name.
 
     ``offset`` is that of its MemberJoined.
     """
