--- a/src/cardamomgrade/jobs/demand.py
+++ b/src/cardamomgrade/jobs/demand.py
@@ -1,31 +1,34 @@
-"""How many processors the jobs that arrive keep busy, by service; pure.
+"""Estimates the cores that arriving jobs keep busy, per service; pure state.
 
-Load pattern: a queue goes from next to nothing to several times its mean within a
-second, and back after some seconds. The work that arrived in the last WINDOW_MS is
-taken as what will go on to arrive, or that of the last RISE_MS where it is more.
+Load pattern: the rate of a queue rises from almost zero to several times its mean
+within a second, and falls back after some seconds. The estimate assumes that work keeps
+arriving at the rate of the last WINDOW_MS, or of the last BURST_MS if that is higher.
 """
 
 from collections import deque
 
-RISE_MS = 500.0  # a burst rises within a second
-WINDOW_MS = 1500.0  # about the time that a VM needs to join a pool
+BURST_MS = 500.0  # bursts rise within a second
+WINDOW_MS = 1500.0  # about the time in which a VM joins a pool
 
 
 class Demand:
-    """Arrivals of work in core-ms; times in ms of the monotonic clock."""
+    """Recent arrivals of work, in core-ms; times are monotonic ms."""
 
     def __init__(self):
         self._arrivals = {}
 
-    def arrived(self, service, work, now_ms):
-        """Take in the work of a job that was accepted."""
-        self._arrivals.setdefault(service, deque()).append((now_ms, work))
+    def record_arrival(self, service, core_ms, now_ms):
+        """Record the work, in core-ms, of an accepted job."""
+        self._arrivals.setdefault(service, deque()).append((now_ms, core_ms))
 
     def cores_m(self, service, now_ms):
-        """Return the thousandths of a core that arriving work keeps busy."""
+        """Return the cores that arriving work keeps busy, in thousandths of a core."""
         arrivals = self._arrivals.get(service, ())
         while arrivals and arrivals[0][0] < now_ms - WINDOW_MS:
             arrivals.popleft()
-        mean = sum(work for _, work in arrivals) / WINDOW_MS
-        recent = sum(work for at, work in arrivals if at > now_ms - RISE_MS) / RISE_MS
+        mean = sum(core_ms for _, core_ms in arrivals) / WINDOW_MS
+        recent = (
+            sum(core_ms for at, core_ms in arrivals if at > now_ms - BURST_MS)
+            / BURST_MS
+        )
         return max(mean, recent) * 1000
--- a/src/cardamomgrade/jobs/durations.py
+++ b/src/cardamomgrade/jobs/durations.py
@@ -1,8 +1,8 @@
-"""Expected run time of a task, learned from the runs of its queue.
+"""Expected run time of a task, learned from past runs of its queue.
 
-Load pattern: estimates that callers give are off by large factors on some queues and
-good on others. Both the estimate and the mean of the queue's runs are scored by how
-far they were off, and the better one is believed.
+Load pattern: the estimates of callers are accurate on some queues and off by large
+factors on others. For each queue the errors of the callers' estimates and of the mean
+run time are tracked as moving averages, and the predictor with the lower error is used.
 """
 
 import math
@@ -11,36 +11,38 @@
 
 from .records import LearnedRecord
 
-WEIGHT = 0.1  # of the newest run: the last two dozen runs count most
+NEWEST_WEIGHT = 0.1  # moving average dominated by the last two dozen runs
 DEFAULT_MS = 1000.0
-LEAST_MS = 20.0
+MIN_MS = 20.0
 
 
 @attrs.define
-class _Queue:
+class _QueueStats:
+    """Moving averages; errors are absolute logarithms of estimate over run time."""
+
     mean_ms: float
     estimate_error: float = 0.0
     mean_error: float = 0.0
 
 
 class Durations:
-    """Run times of all queues, in ms."""
+    """Run time statistics of all queues, in ms."""
 
     def __init__(self):
         self._queues = {}
 
-    def report(self, queue, estimate_ms, took_ms):
-        """Take in the run time of a task that was done."""
-        took_ms = max(took_ms, LEAST_MS)
-        known = self._queues.get(queue)
-        if known is None:
-            known = self._queues[queue] = _Queue(took_ms)
+    def observe(self, queue, estimate_ms, duration_ms):
+        """Record the run time of a completed task."""
+        duration_ms = max(duration_ms, MIN_MS)
+        stats = self._queues.get(queue)
+        if stats is None:
+            stats = self._queues[queue] = _QueueStats(duration_ms)
         if estimate_ms:
-            error = abs(math.log(estimate_ms / took_ms))
-            known.estimate_error += WEIGHT * (error - known.estimate_error)
-        error = abs(math.log(known.mean_ms / took_ms))
-        known.mean_error += WEIGHT * (error - known.mean_error)
-        known.mean_ms += WEIGHT * (took_ms - known.mean_ms)
+            error = abs(math.log(estimate_ms / duration_ms))
+            stats.estimate_error += NEWEST_WEIGHT * (error - stats.estimate_error)
+        error = abs(math.log(stats.mean_ms / duration_ms))
+        stats.mean_error += NEWEST_WEIGHT * (error - stats.mean_error)
+        stats.mean_ms += NEWEST_WEIGHT * (duration_ms - stats.mean_ms)
 
     def record(self):
         """Return the LearnedRecord to store."""
@@ -49,15 +51,15 @@
         )
 
     def restore(self, record):
-        """Take over what another scheduler learned."""
+        """Load the LearnedRecord that an earlier scheduler stored."""
         for name, mean_ms, estimate_error, mean_error in record.queues:
-            self._queues[name] = _Queue(mean_ms, estimate_error, mean_error)
+            self._queues[name] = _QueueStats(mean_ms, estimate_error, mean_error)
 
-    def expect(self, queue, estimate_ms):
-        """Return the expected run time of a task."""
-        known = self._queues.get(queue)
-        if known is None:
+    def expected_ms(self, queue, estimate_ms):
+        """Return the expected run time of a task, in ms."""
+        stats = self._queues.get(queue)
+        if stats is None:
             return float(estimate_ms or DEFAULT_MS)
-        if estimate_ms and known.estimate_error < known.mean_error:
+        if estimate_ms and stats.estimate_error < stats.mean_error:
             return float(estimate_ms)
-        return known.mean_ms
+        return stats.mean_ms
--- a/src/cardamomgrade/jobs/executors.py
+++ b/src/cardamomgrade/jobs/executors.py
@@ -1,11 +1,11 @@
-"""Executors as the scheduler knows them: their capacity and what holds it."""
+"""Executors as seen by the scheduler: their capacity and its allocation to runs."""
 
 import attrs
 
 
 @attrs.frozen
-class Holding:
-    """Room that one run takes on an executor until its end is known."""
+class Allocation:
+    """Capacity allocated to one run on an executor until its end is known."""
 
     task: object
     run: int
@@ -16,11 +16,13 @@
 
 
 class Executor:
-    """One life of an executor.
+    """One incarnation of an executor, with the runs that it holds.
 
-    ``listed`` tells whether its entry is in the platform's list, ``cordoned`` whether
-    it takes no new runs because its VM is due for upkeep, ``silent`` whether it did
-    not answer when it was called last.
+    A restart of the executor process is a new incarnation with a new id. ``listed`` is
+    set while the platform lists the executor, ``cordoned`` while it gets no new runs
+    because its VM is due for upkeep or a move, and ``silent`` if the last request to it
+    was not answered. ``cores_m`` (thousandths of a core), ``memory_mb`` and
+    ``accelerators`` are the amounts allocated to runs.
     """
 
     def __init__(self, entry):
@@ -35,18 +37,18 @@
 
     @property
     def name(self):
-        """The id of this life."""
+        """The id of this incarnation."""
         return self.entry.executor
 
     @property
     def open(self):
-        """Whether new runs may be placed here."""
+        """Whether new runs may be placed on the executor."""
         return not (
             self.entry.draining or self.cordoned or self.silent or not self.listed
         )
 
     def fits(self, step):
-        """Return whether one more task of a step fits."""
+        """Return whether the free capacity suffices for one more task of a step."""
         entry = self.entry
         return (
             self.cores_m + step.counted_cores_m <= entry.cores_m
@@ -55,13 +57,13 @@
         )
 
     @property
-    def free_share(self):
-        """The share of the processors that no run holds."""
+    def free_fraction(self):
+        """The fraction of the cores that is not allocated to runs."""
         return 1 - self.cores_m / max(1, self.entry.cores_m)
 
     def hold(self, task, run, step):
-        """Take the room of a run."""
-        holding = Holding(
+        """Allocate capacity to a run of a task."""
+        allocation = Allocation(
             task,
             run,
             step.counted_cores_m,
@@ -69,16 +71,16 @@
             step.accelerators,
             step.lasting,
         )
-        self.holdings[task] = holding
-        self._shift(holding, 1)
+        self.holdings[task] = allocation
+        self._adjust_usage(allocation, 1)
 
     def release(self, task):
-        """Give back the room of a task's run, once."""
-        holding = self.holdings.pop(task, None)
-        if holding is not None:
-            self._shift(holding, -1)
+        """Free the capacity of a task's run, if any is allocated."""
+        allocation = self.holdings.pop(task, None)
+        if allocation is not None:
+            self._adjust_usage(allocation, -1)
 
-    def _shift(self, holding, sign):
-        self.cores_m += sign * holding.cores_m
-        self.memory_mb += sign * holding.memory_mb
-        self.accelerators += sign * holding.accelerators
+    def _adjust_usage(self, allocation, sign):
+        self.cores_m += sign * allocation.cores_m
+        self.memory_mb += sign * allocation.memory_mb
+        self.accelerators += sign * allocation.accelerators
--- a/src/cardamomgrade/jobs/needs.py
+++ b/src/cardamomgrade/jobs/needs.py
@@ -1,58 +1,65 @@
-"""How many VMs the work of each service needs; pure.
+"""Number of VMs that each service needs; pure state, performs no I/O.
 
-Load pattern: bursts that rise within a second, on pools that hold lasting tasks. What
-runs and waits now, and what arriving work will keep busy, each may be the larger.
+Load pattern: bursts that rise within a second, on pools that also run lasting tasks.
+The need is the larger of two figures, the cores of running and waiting tasks and the
+cores that arriving jobs will keep busy, plus the cores of lasting tasks.
 """
 
 from .demand import Demand
 from .pools import PoolLoad
 
-HEADROOM = 1.15  # above the mean need: tasks do not pack without gaps
+HEADROOM_FACTOR = 1.15  # tasks do not fill VMs without gaps
 
 
 class PoolNeeds:
-    """Work that waits, by service, and the demand that arrives."""
+    """Tracks waiting work and arriving demand per service."""
 
     def __init__(self):
         self.demand = Demand()
-        self._waiting_m = {}
+        self._waiting_cores_m = {}
         self._blocked_vms = {}
-        self._largest_m = 0
+        self._largest_vm_cores_m = 0
 
-    def planned(self, service, waiting_m, blocked_vms):
-        """Take in what a round of placement left waiting.
+    def record_waiting(self, service, waiting_cores_m, blocked_vms):
+        """Record the tasks that a placement round left waiting.
 
-        ``waiting_m`` in thousandths of a core; ``blocked_vms`` are VMs that tasks need
-        although there is room, since they may not run where it is.
+        ``waiting_cores_m`` is in thousandths of a core. ``blocked_vms`` is the number
+        of VMs needed by tasks that fit on an open executor but may not run there, for
+        example because of a limit per executor.
         """
-        self._waiting_m[service] = waiting_m
+        self._waiting_cores_m[service] = waiting_cores_m
         self._blocked_vms[service] = blocked_vms
 
-    def load(self, service, pool, now_ms, aside=frozenset()):
-        """Return the PoolLoad of a Service with the executors in ``pool``.
+    def load(self, service, pool, now_ms, quarantined=frozenset()):
+        """Return the PoolLoad of a Service whose executors are ``pool``.
 
-        Those that are silent, or named in ``aside``, do not count for its size: a
-        small pool would otherwise keep work waiting that nothing in it can take.
+        Executors that are silent, or named in ``quarantined``, do not count towards its
+        size: a small pool would otherwise look large enough although none of its
+        executors can take the waiting work.
         """
-        self._largest_m = max(
-            (item.entry.cores_m for item in pool), default=self._largest_m
+        self._largest_vm_cores_m = max(
+            (item.entry.cores_m for item in pool), default=self._largest_vm_cores_m
         )
-        waiting_m = self._waiting_m.get(service.name, 0)
-        held_m = sum(item.cores_m for item in pool)
-        lasting_m = sum(
-            holding.cores_m
+        waiting_cores_m = self._waiting_cores_m.get(service.name, 0)
+        allocated_cores_m = sum(item.cores_m for item in pool)
+        lasting_cores_m = sum(
+            allocation.cores_m
             for item in pool
-            for holding in item.holdings.values()
-            if holding.lasting
+            for allocation in item.holdings.values()
+            if allocation.lasting
+        )
+        arriving_cores_m = self.demand.cores_m(service.name, now_ms)
+        needed_cores_m = (
+            max(allocated_cores_m + waiting_cores_m, arriving_cores_m) + lasting_cores_m
+        )
+        needed = -(
+            -int(needed_cores_m * HEADROOM_FACTOR) // max(1, self._largest_vm_cores_m)
         )
-        arriving_m = self.demand.cores_m(service.name, now_ms)
-        needed_m = max(held_m + waiting_m, arriving_m) + lasting_m
-        needed = -(-int(needed_m * HEADROOM) // max(1, self._largest_m))
         size = sum(
             item.listed
             and not item.entry.draining
             and not item.silent
-            and item.name not in aside
+            and item.name not in quarantined
             for item in pool
         )
         blocked = self._blocked_vms.get(service.name, 0)
--- a/src/cardamomgrade/jobs/pace.py
+++ b/src/cardamomgrade/jobs/pace.py
@@ -1,23 +1,25 @@
-"""How fast tasks that fill may work beside tasks that serve; pure state.
+"""Throttles fill tasks that share an executor with serving tasks; pure state.
 
-Load pattern: tasks that fill use what serving tasks leave and disturb them by amounts
-that change within seconds. A fill is halted as soon as a serving task on its executor
-comes near its target, and comes back in steps while there is room.
+Fill tasks (steps with ``fills`` set) use the cores that serving tasks leave idle.
+
+Load pattern: fill tasks slow the serving tasks down by amounts that change within
+seconds. A fill task is halted as soon as the tail latency of a serving task on its
+executor nears its target, and is sped up again in steps while latency stays low.
 """
 
 import attrs
 
-FULL = 100
-HALTED = 0
-STEP = 25
-NEAR_SHARE = 0.8  # of the target: halt from here on, before it is missed
-EASY_SHARE = 0.6  # of the target: let fills work more below it
-STEP_S = 1.0  # two of the half seconds over which an executor measures
+FULL_PERCENT = 100
+HALTED_PERCENT = 0
+STEP_PERCENT = 25
+HALT_RATIO = 0.8  # of the target latency; halts before the target is missed
+RESUME_RATIO = 0.6  # of the target latency; fill tasks are sped up below it
+STEP_INTERVAL_S = 1.0  # two of the 0.5 s windows in which executors measure latency
 
 
 @attrs.frozen
 class Pace:
-    """An order to let a run work at ``percent``."""
+    """Order to limit a run to ``percent`` of its full speed."""
 
     executor: str
     task: str
@@ -26,7 +28,7 @@
 
 
 class Pacer:
-    """The pace of every fill, by (task, run)."""
+    """Tracks the pace of each fill task, in percent, by (task, run)."""
 
     def __init__(self):
         self._percents = {}
@@ -35,28 +37,33 @@
     def decide(self, executor, serving, fills, now):
         """Return the Pace orders for one executor.
 
-        ``serving`` holds (tail in ms, target in ms) of tasks that serve, ``fills`` the
-        (task, run) of tasks that fill.
+        ``serving`` holds (tail latency, target latency) pairs of the serving tasks, in
+        ms, and ``fills`` the (task, run) pairs of the fill tasks. A target of 0 means
+        that the task has none.
         """
-        worst = max((tail / target for tail, target in serving if target), default=0)
+        worst_ratio = max(
+            (tail_ms / target for tail_ms, target in serving if target), default=0
+        )
         orders = []
         for task, run in fills:
-            percent = self._percents.get((task, run), FULL)
-            wanted = self._next(percent, worst, now, self._changed_at.get((task, run)))
-            if wanted != percent:
-                self._percents[task, run] = wanted
+            percent = self._percents.get((task, run), FULL_PERCENT)
+            new_percent = self._next_percent(
+                percent, worst_ratio, now, self._changed_at.get((task, run))
+            )
+            if new_percent != percent:
+                self._percents[task, run] = new_percent
                 self._changed_at[task, run] = now
-                orders.append(Pace(executor, task, run, wanted))
+                orders.append(Pace(executor, task, run, new_percent))
         return orders
 
-    def _next(self, percent, worst, now, changed_at):
-        if worst >= NEAR_SHARE:
-            return HALTED
-        rested = changed_at is None or now - changed_at >= STEP_S
-        if worst < EASY_SHARE and rested:
-            return min(FULL, percent + STEP)
+    def _next_percent(self, percent, worst_ratio, now, changed_at):
+        if worst_ratio >= HALT_RATIO:
+            return HALTED_PERCENT
+        may_step = changed_at is None or now - changed_at >= STEP_INTERVAL_S
+        if worst_ratio < RESUME_RATIO and may_step:
+            return min(FULL_PERCENT, percent + STEP_PERCENT)
         return percent
 
     def failed(self, order):
-        """Take note that a Pace was not taken, so that it is decided again."""
+        """Forget the pace of a Pace order that failed, so that it is decided again."""
         self._percents.pop((order.task, order.run), None)
--- a/src/cardamomgrade/jobs/placing.py
+++ b/src/cardamomgrade/jobs/placing.py
@@ -1,17 +1,17 @@
-"""Chooses executors for the tasks of one step; reads no clock and does no I/O.
+"""Selects executors for the tasks of one step; reads no clock and performs no I/O.
 
-Load pattern: bursts of wide steps on a pool that lasting tasks share, and quiet times
-in between. Tasks go to executors that run something already, of these to the one with
-the most free processors: VMs on which nothing runs can then be switched off or go to
-another pool. A rack that holds the step's data goes first.
+Load pattern: bursts of steps with many tasks, with quiet periods in between, on a pool
+shared with lasting tasks. Executors that already run tasks are preferred, then the one
+with the largest free fraction of its cores, so that idle VMs can be switched off or
+moved to another pool. The rack that holds the step's data is preferred over both.
 """
 
 
-class Bound:
-    """Tasks of one step of one occurrence on each executor, under its bound.
+class PlacementLimits:
+    """Limits the tasks of one step and occurrence per executor.
 
-    Where ``executors`` are enough, no executor holds more tasks than the step's
-    budget lets this system take away at once, so that its VM can have its upkeep.
+    With enough ``executors``, no executor gets more tasks than the step's availability
+    budget allows to be unavailable at once, so that upkeep can take down its VM.
     """
 
     def __init__(self, step_state, executors=()):
@@ -27,23 +27,24 @@
                     self.add(task.executor)
 
     def add(self, name):
-        """Count one more task on an executor."""
+        """Count one more task of the step on an executor."""
         self._counts[name] = self._counts.get(name, 0) + 1
 
     def allows(self, name):
-        """Return whether one more task may run on an executor."""
+        """Return whether an executor may run one more task of the step."""
         return not self._limit or self._counts.get(name, 0) < self._limit
 
 
-def choose(executors, step, bound, avoid=(), rack=""):
-    """Return the executor for one more task of a step, or None when none fits.
+def choose_executor(executors, step, limits, avoid=(), rack=""):
+    """Return the best executor for one more task of a step, or None if none fits.
 
-    Executors in ``avoid`` come last; ``rack`` or else the data's rack comes first.
+    Prefers executors on ``rack``, by default the rack of the step's data. Executors
+    whose names are in ``avoid`` are used only if no other fits.
     """
     best, best_rank = None, None
     wanted = rack or step.rack
     for executor in executors:
-        if not executor.fits(step) or not bound.allows(executor.name):
+        if not executor.fits(step) or not limits.allows(executor.name):
             continue
         if step.label and step.label not in executor.entry.labels:
             continue
@@ -51,17 +52,18 @@
             executor.name in avoid,
             bool(wanted) and executor.entry.rack != wanted,
             not executor.holdings,
-            -executor.free_share,
+            -executor.free_fraction,
         )
         if best is None or rank < best_rank:
             best, best_rank = executor, rank
     return best
 
 
-def choose_gang(executors, step, bound):
-    """Return one executor a task for a whole gang, or None when it does not fit.
+def choose_gang_executors(executors, step, limits):
+    """Return one executor per task of a gang, or None if the gang does not fit.
 
-    Tries each rack alone for a step that wants one, the step's own rack first.
+    For a step with ``rack_local`` or ``rack``, tries to fit the gang into each single
+    rack, the step's own rack first, before using executors of several racks.
     """
     racks = [""]
     if step.rack_local or step.rack:
@@ -69,39 +71,39 @@
         racks = [step.rack, *names, ""] if step.rack else [*names, ""]
     for rack in racks:
         members = [item for item in executors if not rack or item.entry.rack == rack]
-        chosen = _fill(members, step, bound)
+        chosen = _fill_executors(members, step, limits)
         if chosen is not None:
             return chosen
     return None
 
 
-def _fill(executors, step, bound):
-    rooms = {item.name: _copies(item, step) for item in executors}
+def _fill_executors(executors, step, limits):
+    capacities = {item.name: _task_capacity(item, step) for item in executors}
     if step.label:
-        rooms = {
-            item.name: rooms[item.name]
+        capacities = {
+            item.name: capacities[item.name]
             for item in executors
             if step.label in item.entry.labels
         }
-    limit = step.per_executor or step.tasks
+    max_tasks = step.per_executor or step.tasks
     by_name = {item.name: item for item in executors}
     chosen = []
-    for name, room in sorted(rooms.items(), key=lambda pair: -pair[1]):
-        for _ in range(min(room, limit)):
-            if len(chosen) < step.tasks and bound.allows(name):
+    for name, capacity in sorted(capacities.items(), key=lambda pair: -pair[1]):
+        for _ in range(min(capacity, max_tasks)):
+            if len(chosen) < step.tasks and limits.allows(name):
                 chosen.append(by_name[name])
-                bound.add(name)
+                limits.add(name)
     return chosen if len(chosen) == step.tasks else None
 
 
-def _copies(executor, step):
+def _task_capacity(executor, step):
     entry = executor.entry
-    rooms = [step.tasks]
+    capacities = [step.tasks]
     for used, size, need in (
         (executor.cores_m, entry.cores_m, step.counted_cores_m),
         (executor.memory_mb, entry.memory_mb, step.memory_mb),
         (executor.accelerators, entry.accelerators, step.accelerators),
     ):
         if need:
-            rooms.append(max(0, size - used) // need)
-    return min(rooms)
+            capacities.append(max(0, size - used) // need)
+    return min(capacities)
--- a/src/cardamomgrade/jobs/pools.py
+++ b/src/cardamomgrade/jobs/pools.py
@@ -1,24 +1,29 @@
-"""Which VM moves to which pool; pure state, times are seconds.
+"""Plans moves of VMs between pools; pure state, times are in seconds.
 
-Load pattern: each queue in turn asks for more than its pool holds for some seconds and
-for next to nothing in between. A pool that needs more takes VMs that
-are off, then VMs that stand idle in other pools; a VM that stood idle for a while is
-switched off. Only VMs on which nothing runs move, so no work is lost.
+Load pattern: each queue in turn exceeds the capacity of its pool for some seconds and
+needs almost none in between. A pool that is short of VMs takes VMs that are switched
+off, then idle VMs of other pools. A VM that was idle for IDLE_TIMEOUT_S is switched
+off by a move to the standby pool. Only VMs without runs move, so no work is lost.
 """
 
 import attrs
 
 from .reports import STATE_UP
 
-IDLE_S = 1.0  # a VM that rested this long mostly rests until its pool's next burst
-JOIN_TIMEOUT_S = 6.0  # a VM that did not join by then is not counted on any more
-LEAST_VMS = 2  # of each pool: one may be lost, or be in upkeep
-REFUSED_S = 5.0  # before a VM that could not be moved is tried again
+IDLE_TIMEOUT_S = 1.0  # a VM idle this long mostly stays idle until the next burst
+JOIN_TIMEOUT_S = 6.0  # a move that takes longer no longer counts
+MIN_POOL_VMS = 2  # one may fail or be in upkeep
+REFUSED_RETRY_S = 5.0  # delay before a refused move is retried
 
 
 @attrs.frozen
 class PoolLoad:
-    """A pool: how many VMs its work needs, its idle executors, how many VMs it has."""
+    """Size and need of a pool.
+
+    ``needed_vms`` is the number of VMs that its work needs, ``size`` the number that it
+    has, and ``idle`` the names of its executors without runs. The VMs of a ``standby``
+    pool are switched off.
+    """
 
     service: str
     needed_vms: int
@@ -28,18 +33,18 @@
 
     @property
     def short_vms(self):
-        """How many VMs are missing."""
+        """The number of VMs that the pool lacks."""
         return 0 if self.standby else max(0, self.needed_vms - self.size)
 
     @property
     def spare_vms(self):
-        """How many VMs the pool could give away."""
-        return max(0, self.size - max(self.needed_vms, LEAST_VMS))
+        """The number of VMs that the pool can release."""
+        return max(0, self.size - max(self.needed_vms, MIN_POOL_VMS))
 
 
 @attrs.frozen
 class Move:
-    """An order that a VM joins a pool; ``executor`` is the life that it ends, or ""."""
+    """Order to move a VM to a pool; ends the incarnation ``executor`` unless ""."""
 
     vm: str
     pool: str
@@ -50,35 +55,35 @@
 class _Joining:
     pool: str
     executor: str
-    at: float
+    ordered_at: float
 
 
 class PoolPlanner:
-    """VMs on their way, and since when executors are idle."""
+    """Plans moves; tracks moves under way, refused moves, and idle times."""
 
     def __init__(self):
         self._joining = {}
         self._idle_since = {}
-        self._refused = {}
+        self._refused_at = {}
 
     def ordered(self, move, now):
-        """Take note that a move was ordered."""
+        """Record that a move was ordered."""
         self._joining[move.vm] = _Joining(move.pool, move.executor, now)
 
     def refused(self, move, now):
-        """Take note that a move was not done."""
+        """Record that a move was refused or not carried out."""
         self._joining.pop(move.vm, None)
-        self._refused[move.vm, move.pool] = now
+        self._refused_at[move.vm, move.pool] = now
 
     def plan(self, loads, listed, now, barred):
         """Return the Moves to order now.
 
-        ``loads`` are the PoolLoads by service, ``listed`` the ListedMachines by VM,
-        ``barred`` the VMs that stay where they are.
+        ``loads`` maps a service to its PoolLoad and ``listed`` a VM to its
+        ListedMachine; ``barred`` are the VMs that must not move.
         """
-        self._settle(listed, now)
-        self._note_idle(loads, now)
-        free = [
+        self._drop_joined(listed, now)
+        self._update_idle(loads, now)
+        movable = [
             machine
             for vm, machine in sorted(listed.items())
             if machine.state == STATE_UP
@@ -88,18 +93,18 @@
         spare = {load.service: load.spare_vms for load in loads.values()}
         moves = []
         for load in sorted(loads.values(), key=lambda item: -item.short_vms):
-            coming = sum(item.pool == load.service for item in self._joining.values())
-            for _ in range(load.short_vms - coming):
-                machine = self._best_source(load, loads, free, spare, now)
+            joining = sum(item.pool == load.service for item in self._joining.values())
+            for _ in range(load.short_vms - joining):
+                machine = self._best_source(load, loads, movable, spare, now)
                 if machine is None:
                     break
-                free.remove(machine)
+                movable.remove(machine)
                 spare[machine.pool] -= 1
                 moves.append(Move(machine.vm, load.service, machine.executor))
-        moves.extend(self._switch_off(loads, free, spare, now))
+        moves.extend(self._switch_off(loads, movable, spare, now))
         return moves
 
-    def _settle(self, listed, now):
+    def _drop_joined(self, listed, now):
         for vm, item in list(self._joining.items()):
             machine = listed.get(vm)
             joined = (
@@ -108,21 +113,21 @@
                 and machine.pool == item.pool
                 and machine.executor != item.executor
             )
-            if joined or now - item.at > JOIN_TIMEOUT_S:
+            if joined or now - item.ordered_at > JOIN_TIMEOUT_S:
                 del self._joining[vm]
 
-    def _note_idle(self, loads, now):
+    def _update_idle(self, loads, now):
         idle = {name for load in loads.values() for name in load.idle}
         self._idle_since = {name: self._idle_since.get(name, now) for name in idle}
 
     def _may_move(self, machine, pool, now):
-        refused = self._refused.get((machine.vm, pool))
-        return refused is None or now - refused > REFUSED_S
+        refused = self._refused_at.get((machine.vm, pool))
+        return refused is None or now - refused > REFUSED_RETRY_S
 
-    def _best_source(self, load, loads, free, spare, now):
-        """Return a VM that is off, else an idle one of a pool that needs none."""
+    def _best_source(self, load, loads, movable, spare, now):
+        """Return a switched-off VM, else an idle VM of a pool that has spare ones."""
         idle = None
-        for machine in free:
+        for machine in movable:
             source = loads.get(machine.pool)
             if machine.pool == load.service or source is None:
                 continue
@@ -134,17 +139,17 @@
                 idle = idle or machine
         return idle
 
-    def _switch_off(self, loads, free, spare, now):
-        """Yield a move for each VM that stood idle for IDLE_S."""
+    def _switch_off(self, loads, movable, spare, now):
+        """Yield a move to the standby pool for each spare VM idle long enough."""
         standby = next((item for item in loads.values() if item.standby), None)
         if standby is None:
             return
-        for machine in free:
+        for machine in movable:
             load = loads.get(machine.pool)
             if load is None or load.standby or spare[machine.pool] <= 0:
                 continue
             since = self._idle_since.get(machine.executor)
-            rested = since is not None and now - since >= IDLE_S
-            if rested and self._may_move(machine, standby.service, now):
+            idle_long_enough = since is not None and now - since >= IDLE_TIMEOUT_S
+            if idle_long_enough and self._may_move(machine, standby.service, now):
                 spare[machine.pool] -= 1
                 yield Move(machine.vm, standby.service, machine.executor)
--- a/src/cardamomgrade/jobs/progress.py
+++ b/src/cardamomgrade/jobs/progress.py
@@ -1,7 +1,7 @@
-"""Progress of one job: which tasks may start, which run, and how runs ended.
+"""Progress of one job: tasks ready to start, current runs and ends of runs.
 
-Pure state: every change comes in by a method, and ``record`` is what has to be
-stored before an order that follows from the change leaves.
+Pure state, performs no I/O. After a change, the result of ``record`` must be stored
+before the orders that follow from the change are sent.
 """
 
 import attrs
@@ -13,10 +13,10 @@
 
 @attrs.define(eq=False)
 class TaskState:
-    """The newest run of one task; ``failures`` are its runs that ended failed.
+    """State of one task and its latest run.
 
-    A task that waits names the executor of its newest run as long as how that run
-    ended is not known for certain.
+    ``run`` counts its runs, ``failures`` those that failed. A waiting task keeps the
+    name of the executor of its latest run until the end of that run is confirmed.
     """
 
     id: TaskId
@@ -44,18 +44,18 @@
 
 @attrs.define(eq=False)
 class StepState:
-    """The tasks of one step of one occurrence."""
+    """The tasks of one step of one occurrence, with counts of those not finished."""
 
     occurrence: int
     number: int
     step: object
     tasks: list
-    undone: int
+    unfinished: int
     waiting: int
 
 
 class JobProgress:
-    """A job with the state of its tasks."""
+    """A job and the state of its tasks."""
 
     def __init__(self, spec, max_attempts):
         self.spec = spec
@@ -68,7 +68,7 @@
 
     @classmethod
     def restore(cls, spec, max_attempts, record):
-        """Return the progress that a ProgressRecord describes."""
+        """Return the JobProgress stored in a ProgressRecord."""
         job = cls(spec, max_attempts)
         job.failed = record.state == JobState.FAILED
         job.cancelled = record.state == JobState.CANCELLED
@@ -78,13 +78,13 @@
                 continue
             task.run, task.executor = item.run, item.executor
             task.failures, task.checkpoint = item.failures, item.checkpoint
-            job._move(task, Phase(item.phase))
+            job._set_phase(task, Phase(item.phase))
             job._started = True
         return job
 
     @property
     def state(self):
-        """The JobState that callers are told."""
+        """The JobState reported to callers."""
         if self.cancelled:
             return JobState.CANCELLED
         if self.failed:
@@ -96,7 +96,7 @@
     def _all_done(self):
         if self.spec.lasting or self._occurrences < max(1, self.spec.repeat):
             return False
-        return all(step.undone == 0 for step in self._steps.values())
+        return all(step.unfinished == 0 for step in self._steps.values())
 
     def record(self):
         """Return the ProgressRecord to store."""
@@ -108,7 +108,7 @@
             yield from step.tasks
 
     def placed(self):
-        """Return the TaskState of every run that may be on an executor."""
+        """Return the TaskState of every task whose run may be on an executor."""
         return [task for task in self._tasks() if task.phase is Phase.PLACED]
 
     def _open_occurrence(self):
@@ -123,8 +123,8 @@
                 occurrence, number, step, tasks, len(tasks), len(tasks)
             )
 
-    def open_due(self, wall_ms):
-        """Open the occurrences that are due; return when the next one is, or 0."""
+    def open_due_occurrences(self, wall_ms):
+        """Open due occurrences; return the wall-clock ms of the next one, or 0."""
         while self._occurrences < max(1, self.spec.repeat):
             due = self.spec.due_ms(self._occurrences)
             if due > wall_ms:
@@ -133,7 +133,7 @@
         return 0
 
     def ready_steps(self):
-        """Return each StepState that has tasks to start now."""
+        """Return the StepStates with tasks that may start now."""
         if self.cancelled or self.failed:
             return []
         return [
@@ -146,7 +146,7 @@
         if step.step.gang and step.waiting < len(step.tasks):
             return False
         return all(
-            self._steps[step.occurrence, number].undone == 0
+            self._steps[step.occurrence, number].unfinished == 0
             for number in step.step.after
         )
 
@@ -160,64 +160,68 @@
         tasks = self._steps[task_id.occurrence, task_id.step].tasks
         return tasks[task_id.index] if 0 <= task_id.index < len(tasks) else None
 
-    def _move(self, task, phase):
+    def _set_phase(self, task, phase):
         step = self._steps[task.id.occurrence, task.id.step]
-        step.undone -= (phase is Phase.DONE) - (task.phase is Phase.DONE)
+        step.unfinished -= (phase is Phase.DONE) - (task.phase is Phase.DONE)
         step.waiting += (phase is Phase.WAITING) - (task.phase is Phase.WAITING)
         task.phase = phase
 
     @property
     def begun(self):
-        """Whether any task was ever started."""
+        """Whether any task has ever started."""
         return self._started
 
-    def chain_ms(self, expect, undone_only=False):
-        """Return the run time of the longest chain of steps, in ms.
+    def critical_path_ms(self, expected_ms, unfinished_only=False):
+        """Return the run time of the longest chain of dependent steps, in ms.
 
-        ``expect(step)`` gives the run time of one task of a step.
+        ``expected_ms(step)`` returns the run time of one task of a step. With
+        ``unfinished_only``, steps whose tasks are all done count as 0.
         """
         ends = []
         for number, step in enumerate(self.spec.steps):
             state = self._steps.get((0, number))
-            done = undone_only and state is not None and state.undone == 0
+            done = unfinished_only and state is not None and state.unfinished == 0
             before = max((ends[item] for item in step.after), default=0.0)
-            ends.append(before + (0.0 if done else expect(step)))
+            ends.append(before + (0.0 if done else expected_ms(step)))
         return max(ends, default=0.0)
 
-    def work(self, expect):
-        """Return the core-ms of the tasks that are not done."""
+    def core_ms(self, expected_ms):
+        """Return the expected core time of the unfinished tasks, in core-ms."""
         return sum(
-            state.undone * state.step.counted_cores_m * expect(state.step) / 1000
+            state.unfinished
+            * state.step.counted_cores_m
+            * expected_ms(state.step)
+            / 1000
             for state in self._steps.values()
         )
 
     def place(self, task, executor):
-        """Start the next run of a task on an executor; return its number."""
+        """Start the next run of a task on an executor; return the run number."""
         task.run += 1
         task.executor = executor
-        self._move(task, Phase.PLACED)
+        self._set_phase(task, Phase.PLACED)
         self._started = True
         return task.run
 
     def place_gang(self, step, executors):
-        """Start all tasks of a gang; they share the number of the run."""
+        """Start all tasks of a gang under one run number; return that number."""
         run = max(task.run for task in step.tasks) + 1
         for task, executor in zip(step.tasks, executors, strict=True):
             task.run = run - 1
             self.place(task, executor)
         return run
 
-    def live(self, task_id, run):
-        """Return the TaskState if that run is the one under way, else None."""
+    def running_task(self, task_id, run):
+        """Return the TaskState if ``run`` is its current run, else None."""
         task = self._find(task_id)
         if task is None or task.run != run or task.phase is not Phase.PLACED:
             return None
         return task
 
-    def given_up(self, task_id, run, executor):
-        """Return the TaskState of a run that was taken as lapsed unheard, else None.
+    def lapsed_task(self, task_id, run, executor):
+        """Return the TaskState of a run marked lapsed without confirmation, else None.
 
-        Nothing of its task, or of its gang, has started since.
+        Returns None as well if its task, or any task of its gang, started again since.
         """
         task = self._find(task_id)
         if task is None:
@@ -229,25 +233,29 @@
         return task if task.executor == executor else None
 
     def withdraw(self, task):
-        """Take back a run that never began."""
+        """Cancel the placement of a run that never began."""
         task.executor = ""
-        self._move(task, Phase.WAITING)
+        self._set_phase(task, Phase.WAITING)
 
-    def end(self, task, outcome, checkpoint="", heard=True):
-        """Take note of the end of the newest run; ``heard`` from its executor."""
+    def end(self, task, outcome, checkpoint="", confirmed=True):
+        """Record the end of the latest run.
+
+        ``confirmed`` means that the end is known from the executor itself. A gang is
+        done when one of its tasks is.
+        """
         step = self._steps[task.id.occurrence, task.id.step]
         if checkpoint:
             task.checkpoint = checkpoint
         if outcome is Outcome.DONE and not step.step.lasting:
             members = step.tasks if step.step.gang else [task]
             for member in members:
-                self._move(member, Phase.DONE)
+                self._set_phase(member, Phase.DONE)
             return
         if outcome is Outcome.FAILED:
             self._count_failure(task, step)
         if task.phase is Phase.PLACED:
-            self._move(task, Phase.WAITING)
-        if heard and task.phase is Phase.WAITING:
+            self._set_phase(task, Phase.WAITING)
+        if confirmed and task.phase is Phase.WAITING:
             task.executor = ""
 
     def _count_failure(self, task, step):
@@ -258,4 +266,4 @@
             member.failures = failures
         if not step.step.lasting and failures >= self.max_attempts:
             self.failed = True
-            self._move(task, Phase.EXHAUSTED)
+            self._set_phase(task, Phase.EXHAUSTED)
--- a/src/cardamomgrade/jobs/scheduler_events.py
+++ b/src/cardamomgrade/jobs/scheduler_events.py
@@ -1,11 +1,11 @@
-"""Numbered events of the scheduler: placements, ends, jobs and executors."""
+"""Log events of the scheduler: run placements and ends, job and executor states."""
 
 from ..journal import event
 
 
 @event(600)
 class TaskStarted:
-    """The scheduler places a run of a task on an executor."""
+    """The scheduler placed a run of a task on an executor."""
 
     job: str
     task: str
@@ -17,7 +17,7 @@
 
 @event(601)
 class TaskEnded:
-    """The end of a run was taken note of."""
+    """The scheduler recorded the end of a run."""
 
     job: str
     task: str
@@ -28,7 +28,7 @@
 
 @event(602)
 class JobChanged:
-    """A job is in another state."""
+    """A job changed its state."""
 
     job: str
     queue: str
@@ -37,7 +37,7 @@
 
 @event(603)
 class ExecutorAside:
-    """An executor failed several tasks in a row and gets none for a while."""
+    """An executor is quarantined for ``for_ms`` after failing several jobs in a row."""
 
     executor: str
     service: str
@@ -46,7 +46,7 @@
 
 @event(604)
 class ExecutorSeen:
-    """An executor appeared, changed its state, or is gone."""
+    """An executor registered, changed its state, or left the platform's list."""
 
     executor: str
     service: str
--- a/src/cardamomgrade/jobs/urgency.py
+++ b/src/cardamomgrade/jobs/urgency.py
@@ -1,22 +1,22 @@
-"""In which order jobs get room; pure.
+"""Order in which the jobs of a pool get capacity; pure functions.
 
-Load pattern: for some seconds a queue asks for more than its pool can do in time. In
-order of arrival every job would then be late. Work goes first to jobs that can still
-meet their objective, jobs that have begun before new ones; a late job gets what these
-leave, the least work first, since that helps most callers soonest.
+Load pattern: for some seconds a queue submits more than its pool can finish in time.
+First-come, first-served would then make every job late. Jobs that can still meet their
+objective come first, started ones before new ones. Late jobs get the capacity left
+over, the least work first, since that completes the most jobs soonest.
 """
 
 from enum import IntEnum, unique
 
 import attrs
 
-LATE_FACTOR = 3.0  # of the objective: the callers' bound beyond which nobody waits
-MARGIN_SHARE = 0.15  # of the expected time: runs of like tasks differ by that much
+HOPELESS_FACTOR = 3.0  # times the objective; callers do not wait longer
+DURATION_MARGIN = 0.15  # run times of similar tasks vary by this fraction
 
 
 @unique
 class Rank(IntEnum):
-    """Groups of jobs, the first first."""
+    """Classes of jobs, in the order in which they get capacity."""
 
     LASTING = 0
     BEGUN = 1
@@ -26,34 +26,39 @@
 
 
 @attrs.frozen
-class Outlook:
-    """What is expected of one job; times in ms, ``work`` in core-ms."""
+class Forecast:
+    """Expected course of one job.
+
+    ``age_ms`` is the time since the job was accepted, ``remaining_ms`` the expected run
+    time of its unfinished critical path, ``objective_ms`` the time from acceptance in
+    which it is to complete, and ``core_ms`` the core time of its unfinished tasks.
+    """
 
     age_ms: float
-    left_ms: float
+    remaining_ms: float
     objective_ms: float
-    work: float
+    core_ms: float
     begun: bool
     lasting: bool
 
 
-def rank_of(outlook):
+def rank_of(forecast):
     """Return the Rank of a job."""
-    if outlook.lasting:
+    if forecast.lasting:
         return Rank.LASTING
-    ready_ms = outlook.age_ms + outlook.left_ms
-    if ready_ms > outlook.objective_ms * LATE_FACTOR:
+    ready_ms = forecast.age_ms + forecast.remaining_ms
+    if ready_ms > forecast.objective_ms * HOPELESS_FACTOR:
         return Rank.HOPELESS
-    if outlook.begun and ready_ms <= outlook.objective_ms:
+    if forecast.begun and ready_ms <= forecast.objective_ms:
         return Rank.BEGUN
-    margin_ms = outlook.left_ms * MARGIN_SHARE
-    if ready_ms + margin_ms <= outlook.objective_ms:
+    margin_ms = forecast.remaining_ms * DURATION_MARGIN
+    if ready_ms + margin_ms <= forecast.objective_ms:
         return Rank.IN_TIME
     return Rank.LATE
 
 
-def order_key(outlook, priority, arrival):
-    """Return the key by which jobs of one pool are sorted; ``arrival`` breaks ties."""
-    rank = rank_of(outlook)
+def order_key(forecast, priority, arrival):
+    """Return the sort key of a job within its pool; ``arrival`` breaks ties."""
+    rank = rank_of(forecast)
     late = rank in (Rank.LATE, Rank.HOPELESS)
-    return (rank, priority, outlook.work if late else 0.0, arrival)
+    return (rank, priority, forecast.core_ms if late else 0.0, arrival)
--- a/tests/jobs/scheduler.feature
+++ b/tests/jobs/scheduler.feature
@@ -1,4 +1,4 @@
-Feature: which task runs where, and what its end means
+Feature: placement of tasks on executors, and handling of the ends of runs
 
   Scenario: steps run in order and a job completes when its last task is done
     Given a pool of 2 executors with 16 cores each
@@ -9,31 +9,31 @@
     When all running tasks are done
     Then the job ends as completed
 
-  Scenario: no executor is given more than it holds
+  Scenario: no executor is allocated more than its capacity
     Given a pool of 2 executors with 4 cores each
     When a job with steps of 20 and 1 tasks of 1 core is added
     Then the plan starts 8 tasks
     And no executor holds more than its cores
 
-  Scenario: a task that failed as often as its queue allows fails its job
+  Scenario: a job fails when a task has failed as often as its queue allows
     Given a pool of 3 executors with 4 cores each
     When a job with steps of 1 and 1 tasks of 1 core is added
     And its first task fails 3 times
     Then the job ends as failed
     And the plan starts 0 tasks
 
-  Scenario: a task that failed goes to another executor
+  Scenario: a failed task is retried on another executor
     Given a pool of 3 executors with 4 cores each
     When a job with steps of 1 and 1 tasks of 1 core is added
     Then its task runs on another executor after a failure
 
-  Scenario: an executor that fails several tasks in a row is left out for a while
+  Scenario: an executor that fails tasks of several jobs in a row is quarantined
     Given a pool of 2 executors with 4 cores each
     When every task on the first executor fails in 2 jobs
     Then new jobs run on the second executor only
-    And after the rest they run on the first executor again
+    And after the quarantine they run on the first executor again
 
-  Scenario: a cancelled job starts nothing and its runs are stopped
+  Scenario: cancelling a job stops its runs and starts no more
     Given a pool of 1 executors with 2 cores each
     When a job with steps of 4 and 1 tasks of 1 core is added
     Then the plan starts 2 tasks
@@ -45,18 +45,18 @@
     Given a pool of 2 executors with 4 cores each
     When a job with steps of 4 and 1 tasks of 1 core is added
     Then the plan starts 4 tasks
-    When the executor of the first task surely runs nothing any more
+    When the executor of the first task is known to run nothing
     Then its tasks start again elsewhere as run 2
     And a late end of run 1 changes nothing
 
-  Scenario Outline: an end that is heard after its run was given up counts while it can
+  Scenario Outline: an end reported after its run was marked lapsed counts unless the task restarted
     Given a pool of 2 executors with 4 cores each
     When a job with steps of 2 and 1 tasks of 1 core is added
     Then the plan starts 2 tasks
-    When the executor of the first task surely runs nothing any more
-    And its executor tells that run 1 of the first task ended <outcome>
+    When the executor of the first task is known to run nothing
+    And its executor reports that run 1 of the first task ended <outcome>
     Then the first task <result>
-    And hearing of it once more changes nothing
+    And reporting it again changes nothing
 
     Examples:
       | outcome | result                        |
@@ -64,16 +64,16 @@
       | failed  | has 1 failure and starts again |
       | lapsed  | has 0 failures and starts again |
 
-  Scenario: a run that ended for certain is not counted twice
+  Scenario: the confirmed end of a run is not counted twice
     Given a pool of 2 executors with 4 cores each
     When a job with steps of 2 and 1 tasks of 1 core is added
     Then the plan starts 2 tasks
-    When its executor tells that run 1 of the first task ended failed
+    When its executor reports that run 1 of the first task ended failed
     And another scheduler takes over
-    And its executor tells that run 1 of the first task ended failed
+    And its executor reports that run 1 of the first task ended failed
     Then the first task has 1 failure and starts again
 
-  Scenario: a draining, an unlisted, a silent and a cordoned executor get nothing new
+  Scenario: draining, unlisted, silent and cordoned executors get no new runs
     Given a pool of 5 executors with 4 cores each
     When the first drains, the second is unlisted, the third is silent and the fourth is cordoned
     And a job with steps of 4 and 1 tasks of 1 core is added
@@ -84,7 +84,7 @@
     When a gang of 5 tasks of 1 core is added
     Then the plan starts 0 tasks
     When a gang of 4 tasks of 1 core is added
-    Then the plan starts 4 tasks of one run number
+    Then the plan starts 4 tasks under one run number
     When one member of the gang fails
     Then the other members are stopped before the gang starts again
 
@@ -94,7 +94,7 @@
     Then 0 tasks start before its time, 1 at its time and 2 more later
     And the job is completed once all its occurrences are done
 
-  Scenario Outline: labels, bounds and racks hold
+  Scenario Outline: placement respects labels, limits per executor and racks
     Given a pool of 4 executors with 8 cores each
     When a job whose step sets <field> to <value> is added
     Then <rule>
@@ -106,19 +106,19 @@
       | per_executor | 1     | no executor runs 2 of its tasks       |
       | rack         | r2    | every task runs on rack r2            |
 
-  Scenario: what is stored of a job restores it
+  Scenario: a job is restored from its stored record
     Given a pool of 2 executors with 4 cores each
     When a job with steps of 3 and 2 tasks of 1 core is added
     And some of its tasks run, one is done and one has failed
-    Then a scheduler that reads its record goes on where this one was
+    Then a scheduler that restores its record continues its tasks
 
-  Scenario: a pool too small for a step's bound on one executor asks for VMs
+  Scenario: a pool too small for a step's limit per executor needs more VMs
     Given a pool of 2 executors with 16 cores each
     When a job whose step sets per_executor to 1 is added
     Then the plan starts 2 tasks
     And the pool needs 4 VMs
 
-  Scenario Outline: VMs that take no runs do not count for work that waits
+  Scenario Outline: VMs that take no runs do not count towards the size of their pool
     Given a pool of 2 executors with 16 cores each
     When both executors are <state>
     And a job with steps of 4 and 1 tasks of 1 core is added
@@ -126,19 +126,19 @@
     And the pool is short of VMs
 
     Examples:
-      | state     |
-      | silent    |
-      | set aside |
+      | state       |
+      | silent      |
+      | quarantined |
 
-  Scenario: a lasting task shares a VM rather than wait for one without its step
+  Scenario: a lasting task shares a VM with another task of its step rather than wait
     Given a pool of 3 executors with 4 cores each
     When tasks that take all of two executors run
     And a lasting step of 3 tasks with a budget of 1 is added
     Then the plan starts 3 tasks
 
-  Scenario: a job whose queue was removed keeps its attempts and its service
+  Scenario: a job of a removed queue keeps its attempts and its service
     Given a pool of 3 executors with 4 cores each
-    When a job of a queue that is gone, with 3 attempts, is added
+    When a job of a removed queue, with 3 attempts, is added
     And its first task fails 2 times
     Then the job ends as running
     When its first task fails 1 times
--- a/tests/steps/jobs_pools.py
+++ b/tests/steps/jobs_pools.py
@@ -1,4 +1,4 @@
-"""Steps for pools, and for the demand that sizes them."""
+"""Steps for pools and for the demand estimate that sizes them."""
 
 from behave import given, then, when
 
@@ -7,8 +7,8 @@
 from cardamomgrade.jobs.reports import ListedMachine
 
 
-class PoolWorld:
-    """Loads and a VM list for one planner."""
+class PoolFixture:
+    """A planner with the loads of its pools and a VM list."""
 
     def __init__(self, sizes, needs, off):
         self.planner = PoolPlanner()
@@ -36,7 +36,7 @@
 )
 def step_pools(context, need_a, size_a, need_b, size_b, off):
     sizes, needs = {"a": size_a, "b": size_b}, {"a": need_a, "b": need_b}
-    context.pools = PoolWorld(sizes, needs, off)
+    context.pools = PoolFixture(sizes, needs, off)
 
 
 @then('the moves to "a" are the VM that is off and one idle VM of "b"')
@@ -70,17 +70,17 @@
 
 
 @when("{seconds:d} s have passed")
-def step_passed(context, seconds):
+def step_time(context, seconds):
     context.pools.now += seconds
 
 
 @then('{count:d} VMs of "a" are switched off')
-def step_off(context, count):
+def step_switched_off(context, count):
     moves = context.pools.plan()
     assert len(moves) == count and {item.pool for item in moves} == {"off"}, moves
 
 
-@when('something runs on every VM of "b"')
+@when('every VM of "b" has runs')
 def step_busy(context):
     load = context.pools.loads["b"]
     context.pools.loads["b"] = PoolLoad("b", load.needed_vms, (), load.size, False)
@@ -95,7 +95,7 @@
 def step_work(context, work, steps):
     context.demand = Demand()
     for number in range(steps):
-        context.demand.arrived("s", work * 1000.0, number * 250.0)
+        context.demand.record_arrival("s", work * 1000.0, number * 250.0)
     context.now_ms = (steps - 1) * 250.0
 
 
@@ -105,6 +105,6 @@
 
 
 @then("the demand is {cores:d} cores {seconds:d} s later")
-def step_later(context, cores, seconds):
+def step_demand_later(context, cores, seconds):
     later = context.demand.cores_m("s", context.now_ms + seconds * 1000)
     assert later == cores * 1000
--- a/tests/steps/jobs_scheduler.py
+++ b/tests/steps/jobs_scheduler.py
@@ -1,4 +1,4 @@
-"""Steps for the scheduler of jobs."""
+"""Steps for the job scheduler."""
 
 import itertools
 
@@ -15,7 +15,7 @@
     Phase,
 )
 from cardamomgrade.jobs.reports import ExecutorEntry, Outcome
-from cardamomgrade.jobs.scheduler import ASIDE_MIN_MS, Scheduler
+from cardamomgrade.jobs.scheduler import QUARANTINE_MIN_MS, Scheduler
 from cardamomgrade.jobs.spec import JobSpec, Step
 
 WALL_MS = 1_700_000_000_000
@@ -32,8 +32,8 @@
     )
 
 
-class SchedulerWorld:
-    """A scheduler with a clock and the runs that are on executors."""
+class SchedulerFixture:
+    """A scheduler with a simulated clock, and the Start orders of current runs."""
 
     def __init__(self, executors, cores):
         self.now_ms = 0.0
@@ -80,7 +80,7 @@
 
 @given("a pool of {executors:d} executors with {cores:d} cores each")
 def step_pool(context, executors, cores):
-    context.jobs = SchedulerWorld(executors, cores)
+    context.jobs = SchedulerFixture(executors, cores)
 
 
 @when("a job with steps of {first:d} and {second:d} tasks of {cores:d} core is added")
@@ -116,7 +116,7 @@
     assert len(starts) == count, starts
 
 
-@then("the plan starts {count:d} tasks of one run number")
+@then("the plan starts {count:d} tasks under one run number")
 def step_plan_gang(context, count):
     starts = context.jobs.plan()
     assert len(starts) == count and {item.run for item in starts} == {1}, starts
@@ -150,7 +150,7 @@
 
 
 @then("its task runs on another executor after a failure")
-def step_elsewhere(context):
+def step_other_executor(context):
     world = context.jobs
     (first,) = world.plan()
     world.end(first, Outcome.FAILED)
@@ -159,14 +159,14 @@
 
 
 @when("every task on the first executor fails in {jobs:d} jobs")
-def step_bad_executor(context, jobs):
+def step_failing_executor(context, jobs):
     world = context.jobs
     for _ in range(jobs):
         world.add(Step(8, cores_m=1000))
         world.plan()
         for start in list(world.running):
-            bad = start.executor == world.names[0]
-            world.end(start, Outcome.FAILED if bad else Outcome.DONE)
+            failing = start.executor == world.names[0]
+            world.end(start, Outcome.FAILED if failing else Outcome.DONE)
         world.scheduler.cancel(world.job)
         world.end_all(Outcome.STOPPED)
 
@@ -179,10 +179,10 @@
     world.end_all()
 
 
-@then("after the rest they run on the first executor again")
-def step_rested(context):
+@then("after the quarantine they run on the first executor again")
+def step_after_quarantine(context):
     world = context.jobs
-    world.now_ms += ASIDE_MIN_MS + 1
+    world.now_ms += QUARANTINE_MIN_MS + 1
     world.add(Step(6, cores_m=1000))
     assert world.names[0] in {item.executor for item in world.plan()}
 
@@ -198,7 +198,7 @@
     assert len(stops) == count, stops
 
 
-@when("the executor of the first task surely runs nothing any more")
+@when("the executor of the first task is known to run nothing")
 def step_lost(context):
     world = context.jobs
     world.lost = [
@@ -209,7 +209,7 @@
 
 
 @then("its tasks start again elsewhere as run 2")
-def step_again(context):
+def step_restarted(context):
     world = context.jobs
     starts = world.plan()
     assert {item.task for item in starts} == {item.task for item in world.lost}
@@ -222,17 +222,17 @@
 def step_late_end(context):
     world = context.jobs
     late = world.lost[0]
-    taken = world.scheduler.end(
+    accepted = world.scheduler.end(
         late.executor, late.task, 1, Outcome.DONE, "", world.now_ms
     )
-    assert not taken and world.state() is JobState.RUNNING
+    assert not accepted and world.state() is JobState.RUNNING
 
 
 @when(
     "the first drains, the second is unlisted, the third is silent and the fourth is "
     "cordoned"
 )
-def step_closed(context):
+def step_no_new_runs(context):
     world = context.jobs
     first = world.scheduler.executors[world.names[0]]
     world.scheduler.put_executor(attrs.evolve(first.entry, draining=True))
@@ -242,7 +242,7 @@
 
 
 @then("all tasks run on the fifth executor")
-def step_fifth(context):
+def step_fifth_only(context):
     world = context.jobs
     assert {item.executor for item in world.plan()} == {world.names[4]}
 
@@ -293,7 +293,7 @@
 
 
 @then("no executor runs 2 of its tasks")
-def step_apart(context):
+def step_one_per_executor(context):
     starts = context.jobs.plan()
     assert len({item.executor for item in starts}) == len(starts) == 4
 
@@ -308,33 +308,33 @@
 
 
 @when("some of its tasks run, one is done and one has failed")
-def step_mixed(context):
+def step_partly_done(context):
     world = context.jobs
     starts = world.plan()
     world.end(starts[0], Outcome.DONE)
     world.end(starts[1], Outcome.FAILED)
 
 
-@then("a scheduler that reads its record goes on where this one was")
+@then("a scheduler that restores its record continues its tasks")
 def step_restored(context):
     world = context.jobs
     spec = world.scheduler.jobs[world.job].spec
     ((key, value),) = world.scheduler.take_dirty()
     assert key.endswith(world.job)
-    again = SchedulerWorld(len(world.names), world.cores)
-    again.job = world.job
+    restored = SchedulerFixture(len(world.names), world.cores)
+    restored.job = world.job
     stored = decode_job(encode(spec))
     assert stored == spec
-    again.scheduler.add_job(stored, decode_progress(value))
-    starts = again.plan()
+    restored.scheduler.add_job(stored, decode_progress(value))
+    starts = restored.plan()
     assert [item.run for item in starts] == [2], starts
-    (left,) = again.scheduler.jobs[world.job].placed()[-1:]
+    (left,) = restored.scheduler.jobs[world.job].placed()[-1:]
     assert left.failures in (0, 1)
-    for task in again.scheduler.jobs[world.job].placed():
-        again.scheduler.end(
-            task.executor, str(task.id), task.run, Outcome.DONE, "", again.now_ms
+    for task in restored.scheduler.jobs[world.job].placed():
+        restored.scheduler.end(
+            task.executor, str(task.id), task.run, Outcome.DONE, "", restored.now_ms
         )
-    assert len(again.plan()) == 2
+    assert len(restored.plan()) == 2
 
 
 @then("the pool needs {count:d} VMs")
@@ -359,8 +359,8 @@
     context.jobs.add(step)
 
 
-@when("a job of a queue that is gone, with {attempts:d} attempts, is added")
-def step_gone_queue(context, attempts):
+@when("a job of a removed queue, with {attempts:d} attempts, is added")
+def step_removed_queue(context, attempts):
     world = context.jobs
     world.scheduler.set_config(attrs.evolve(CONFIG, queues=()))
     world.add(Step(1, cores_m=1000), max_attempts=attempts)
@@ -372,11 +372,15 @@
     return next(task for task in job._tasks() if task.id.index == task.id.step == 0)
 
 
-@when("its executor tells that run 1 of the first task ended {outcome}")
-def step_told_end(context, outcome):
+@when("its executor reports that run 1 of the first task ended {outcome}")
+def step_reported_end(context, outcome):
     world, task = context.jobs, first_task(context)
-    context.told = (task.executor or context.told[0], str(task.id), Outcome(outcome))
-    name, task_name, end = context.told
+    context.reported = (
+        task.executor or context.reported[0],
+        str(task.id),
+        Outcome(outcome),
+    )
+    name, task_name, end = context.reported
     world.scheduler.end(name, task_name, 1, end, "", world.now_ms)
 
 
@@ -392,30 +396,30 @@
         world.scheduler.put_executor(entry)
 
 
-def starts_of_first(context):
+def plan_first_task_runs(context):
     name = str(first_task(context).id)
     return [item.run for item in context.jobs.plan() if item.task == name]
 
 
 @then("the first task is done and does not start")
-def step_late_done(context):
+def step_first_done(context):
     assert first_task(context).phase is Phase.DONE
-    assert starts_of_first(context) == []
+    assert plan_first_task_runs(context) == []
 
 
 @then("the first task has {count:d} failure{plural} and starts again")
 @then("the first task has {count:d} failure and starts again")
-def step_late_failed(context, count, plural=""):
+def step_first_failed(context, count, plural=""):
     task = first_task(context)
     assert task.failures == count, task
-    assert starts_of_first(context) == [2]
+    assert plan_first_task_runs(context) == [2]
 
 
-@then("hearing of it once more changes nothing")
-def step_once_more(context):
+@then("reporting it again changes nothing")
+def step_reported_again(context):
     world, task = context.jobs, first_task(context)
     before = attrs.astuple(task)
-    name, task_name, end = context.told
+    name, task_name, end = context.reported
     world.scheduler.end(name, task_name, 1, end, "", world.now_ms)
     assert attrs.astuple(task) == before
 
@@ -426,10 +430,10 @@
         executor.silent = True
 
 
-@when("both executors are set aside")
-def step_both_aside(context):
+@when("both executors are quarantined")
+def step_both_quarantined(context):
     scheduler = context.jobs.scheduler
-    scheduler._health = Health(1, ASIDE_MIN_MS, ASIDE_MIN_MS, 1.0)
+    scheduler._health = Health(1, QUARANTINE_MIN_MS, QUARANTINE_MIN_MS, 1.0)
     for name in context.jobs.names:
         for job in ("j1", "j2"):
             scheduler._health.failed(name, "s", job, 2, context.jobs.now_ms)
--- a/tests/steps/jobs_urgency.py
+++ b/tests/steps/jobs_urgency.py
@@ -1,4 +1,4 @@
-"""Steps for the order of jobs, expected run times and the pace of fills."""
+"""Steps for the order of jobs, expected run times and the pace of fill tasks."""
 
 import random
 
@@ -9,21 +9,21 @@
 from cardamomgrade.jobs.records import JobState
 from cardamomgrade.jobs.reports import Outcome
 from cardamomgrade.jobs.spec import Step
-from cardamomgrade.jobs.urgency import Outlook, Rank, rank_of
+from cardamomgrade.jobs.urgency import Forecast, Rank, rank_of
 
 
 @given(
-    "a job of age {age:d} ms with {left:d} ms left of an objective of "
+    "a job of age {age:d} ms with {left:d} ms remaining of an objective of "
     "{objective:d} ms, "
     "begun {begun}"
 )
 def step_outlook(context, age, left, objective, begun):
-    context.outlook = Outlook(age, left, objective, 1.0, begun == "yes", False)
+    context.forecast = Forecast(age, left, objective, 1.0, begun == "yes", False)
 
 
 @then("its rank is {rank}")
 def step_rank(context, rank):
-    assert rank_of(context.outlook) is Rank[rank], rank_of(context.outlook)
+    assert rank_of(context.forecast) is Rank[rank], rank_of(context.forecast)
 
 
 @when(
@@ -51,8 +51,8 @@
 
 
 @then(
-    "at least {count:d} of them are done within {limit:d} ms, where order of arrival "
-    "does {baseline:d}"
+    "at least {count:d} of them are done within {limit:d} ms, against {baseline:d} in "
+    "order of arrival"
 )
 def step_in_time(context, count, limit, baseline):
     in_time = [took for took in context.took.values() if took <= limit]
@@ -63,7 +63,7 @@
 def step_bad_estimates(context):
     context.durations, rng = Durations(), random.Random(7)
     for _ in range(60):
-        context.durations.report("q", rng.uniform(40, 5000), rng.gauss(1000, 50))
+        context.durations.observe("q", rng.uniform(40, 5000), rng.gauss(1000, 50))
 
 
 @given("a queue whose tasks take what is estimated, from 200 to 4000 ms")
@@ -71,45 +71,45 @@
     context.durations, rng = Durations(), random.Random(7)
     for _ in range(60):
         took = rng.uniform(200, 4000)
-        context.durations.report("q", took * 1.05, took)
+        context.durations.observe("q", took * 1.05, took)
 
 
 @then("a task is expected to take {low:d} to {high:d} ms")
 def step_expected(context, low, high):
-    assert low <= context.durations.expect("q", 40) <= high
+    assert low <= context.durations.expected_ms("q", 40) <= high
 
 
 @then("a task estimated at {estimate:d} ms is expected to take {took:d} ms")
 def step_estimated(context, estimate, took):
-    assert context.durations.expect("q", estimate) == took
+    assert context.durations.expected_ms("q", estimate) == took
 
 
-@given("a fill beside a task with a target of {target:d} ms")
+@given("a fill task beside a serving task with a target of {target:d} ms")
 def step_fill(context, target):
     context.pacer, context.target, context.now = Pacer(), target, 0.0
 
 
-def pace(context, tail):
-    serving = [(tail, context.target)]
+def pace(context, tail_ms):
+    serving = [(tail_ms, context.target)]
     return context.pacer.decide("e", serving, [("f", 1)], context.now)
 
 
-@when("the tail is {tail:d} ms")
-def step_tail(context, tail):
-    context.orders = pace(context, tail)
+@when("the tail latency is {tail_ms:d} ms")
+def step_tail(context, tail_ms):
+    context.orders = pace(context, tail_ms)
 
 
-@when("the tail is {tail:d} ms for {seconds:g} s")
-def step_tail_later(context, tail, seconds):
+@when("the tail latency is {tail_ms:d} ms for {seconds:g} s")
+def step_tail_later(context, tail_ms, seconds):
     context.now += seconds
-    context.orders = pace(context, tail)
+    context.orders = pace(context, tail_ms)
 
 
-@then("the fill is paced to {percent:d}")
+@then("the fill task is paced to {percent:d}")
 def step_paced(context, percent):
     assert [item.percent for item in context.orders] == [percent], context.orders
 
 
-@then("the pace of the fill stays")
+@then("the pace of the fill task is unchanged")
 def step_stays(context):
     assert context.orders == []
