--- a/src/cardamomgrade/jobs/availability.py
+++ b/src/cardamomgrade/jobs/availability.py
@@ -1,71 +1,82 @@
-"""Which lasting tasks may be taken away now; pure state, times are seconds.
+"""Availability budgets: which lasting tasks may be stopped now.
 
-Load pattern: waves end tasks that last, while executors are lost beside them. A task
-counts as away from the moment when this system is about to end it, while it comes up,
-and when its executor has not reported it for a while. After a change of scheduler a
-task that is reported as at work may have been ordered to stop by the last one.
+Pure state, performs no I/O; times are in seconds.
+
+Load pattern: maintenance waves stop lasting tasks while other executors fail. A task
+counts as unavailable once this system is about to stop it, while it starts up, and when
+its executor has not reported it for REPORT_TIMEOUT_S. After a change of scheduler, a
+task that is reported as ready may have been ordered to stop by the previous one.
 """
 
-AT_WORK_PERCENT = 100
-STALE_S = 2.0  # two renewals: an executor that is silent may be gone
+READY_PERCENT = 100
+REPORT_TIMEOUT_S = 2.0  # two lease renewals; a silent executor may be lost
 
 
 class Availability:
-    """Tasks at work by name; ``step_of(name)`` gives a task's Step, or None.
+    """Tracks which lasting tasks are ready, and those about to be stopped.
 
-    Before ``settled_at`` no task with a budget is taken away.
+    ``step_of(name)`` returns the Step of a task, or None. No task under an availability
+    budget may be stopped before ``settled_at``, when the orders of the previous
+    scheduler have taken effect.
     """
 
     def __init__(self, step_of, settled_at=float("-inf")):
         self._step_of = step_of
         self._settled_at = settled_at
-        self._at_work = {}
-        self._ending = set()
+        self._ready_at = {}
+        self._stopping = set()
 
     def reported(self, name, percent, now):
-        """Take in a report; return whether the task is at work."""
-        if percent < AT_WORK_PERCENT:
+        """Record the readiness that an executor reported; return whether it is 100%."""
+        if percent < READY_PERCENT:
             return False
-        self._at_work[name] = now
+        self._ready_at[name] = now
         return True
 
     def ended(self, names):
-        """Take note that runs of these tasks ended."""
+        """Record that the runs of tasks ended."""
         for name in names:
-            self._at_work.pop(name, None)
-            self._ending.discard(name)
+            self._ready_at.pop(name, None)
+            self._stopping.discard(name)
 
     def kept(self, names):
-        """Take note that these tasks are not ended after all."""
-        self._ending.difference_update(names)
+        """Undo ``reserve`` for tasks that were not stopped."""
+        self._stopping.difference_update(names)
 
     def reserve(self, executor, now):
-        """Count all that runs on an executor as away, if every budget allows it."""
-        for names, step in self._budgeted(executor, now):
+        """Count all tasks on an executor as unavailable if every budget allows it.
+
+        Returns whether it did.
+        """
+        for names, step in self._budgeted_tasks(executor, now):
             if now < self._settled_at:
                 return False
-            if self._away(names, step, now) + len(names) > step.may_miss:
+            if self._count_unavailable(names, step, now) + len(names) > step.may_miss:
                 return False
-        self._ending.update(executor.holdings)
+        self._stopping.update(executor.holdings)
         return True
 
     def thin_out(self, executor, now):
-        """Return tasks to stop, where an executor holds more than a budget allows.
+        """Return tasks to stop on an executor that holds more than a budget allows.
 
-        One task of a step at a time, so that it can come up elsewhere.
+        Returns at most one task per step, so that it can start elsewhere before the
+        next one is stopped.
         """
-        found = []
+        stopped = []
         if now < self._settled_at:
-            return found
-        for names, step in self._budgeted(executor, now):
-            crowded = len(names) > step.may_miss and names[0] not in self._ending
-            if crowded and self._away(names[:1], step, now) < step.may_miss:
-                self._ending.add(names[0])
-                found.append(names[0])
-        return found
-
-    def _budgeted(self, executor, now):
-        """Return (names, step) of tasks at work there under an availability budget."""
+            return stopped
+        for names, step in self._budgeted_tasks(executor, now):
+            crowded = len(names) > step.may_miss and names[0] not in self._stopping
+            if (
+                crowded
+                and self._count_unavailable(names[:1], step, now) < step.may_miss
+            ):
+                self._stopping.add(names[0])
+                stopped.append(names[0])
+        return stopped
+
+    def _budgeted_tasks(self, executor, now):
+        """Return (names, step) of budgeted steps with ready tasks on an executor."""
         by_step = {}
         for name in executor.holdings:
             step = self._step_of(name)
@@ -74,17 +85,17 @@
         return [
             (names, self._step_of(names[0]))
             for names in by_step.values()
-            if any(self._is_at_work(name, now) for name in names)
+            if any(self._is_ready(name, now) for name in names)
         ]
 
-    def _away(self, names, step, now):
-        """Return how many tasks of a step, but for ``names``, are not at work."""
+    def _count_unavailable(self, names, step, now):
+        """Return how many tasks of a step, excluding ``names``, are not ready."""
         prefix = names[0].rpartition(".")[0]
         others = {f"{prefix}.{index}" for index in range(step.tasks)} - set(names)
-        return sum(not self._is_at_work(name, now) for name in others)
+        return sum(not self._is_ready(name, now) for name in others)
 
-    def _is_at_work(self, name, now):
-        seen_at = self._at_work.get(name)
-        if seen_at is None or name in self._ending:
+    def _is_ready(self, name, now):
+        ready_at = self._ready_at.get(name)
+        if ready_at is None or name in self._stopping:
             return False
-        return now - seen_at < STALE_S
+        return now - ready_at < REPORT_TIMEOUT_S
--- a/src/cardamomgrade/jobs/queues.py
+++ b/src/cardamomgrade/jobs/queues.py
@@ -1,11 +1,11 @@
-"""The operators' configuration as jobs use it: queues and the services behind them."""
+"""Configuration of queues and of the services that run their jobs."""
 
 import attrs
 
 
 @attrs.frozen
 class Advice:
-    """Terms of the eligibility service of a queue; times in ms."""
+    """Timing of the eligibility service of a queue, in ms."""
 
     decision_ms: int
     period_ms: int
@@ -14,10 +14,11 @@
 
 @attrs.frozen
 class Queue:
-    """A queue: requests to ``host`` under ``prefix`` run on ``service``.
+    """A queue: jobs submitted to ``host`` under ``prefix`` run on ``service``.
 
-    ``priority`` 0 comes first. A task may fail ``max_attempts`` times. A job's
-    objective is ``stretch`` times its longest chain and ``target_ms`` more.
+    Lower values of ``priority`` come first. A job fails when one of its tasks has
+    failed ``max_attempts`` times. The objective of a job is ``stretch`` times the run
+    time of its longest chain of steps, plus ``target_ms``.
     """
 
     name: str
@@ -34,7 +35,7 @@
 
 @attrs.frozen
 class Service:
-    """A pool of executors; ``standby`` machines are off and cost nothing."""
+    """A pool of executors; VMs of a ``standby`` pool are off and cost nothing."""
 
     name: str
     guards_capacity: bool = False
@@ -43,7 +44,7 @@
 
 @attrs.frozen
 class QueueConfig:
-    """One version of the configuration."""
+    """One version of the configuration; ``body_limit`` is in bytes, 0 is no limit."""
 
     version: int
     queues: tuple = ()
@@ -51,15 +52,15 @@
     body_limit: int = 0
 
     def queue(self, name):
-        """Return the queue of that name, or None."""
+        """Return the queue named ``name``, or None."""
         return next((item for item in self.queues if item.name == name), None)
 
     def service(self, name):
-        """Return the service of that name, or None."""
+        """Return the service named ``name``, or None."""
         return next((item for item in self.services if item.name == name), None)
 
     def match(self, host, path):
-        """Return the queue with the longest prefix of ``path`` on a host, or None."""
+        """Return the queue on a host whose prefix matches most of ``path``, or None."""
         host = host.partition(":")[0].lower()
         found = [
             item
--- a/src/cardamomgrade/jobs/upkeep.py
+++ b/src/cardamomgrade/jobs/upkeep.py
@@ -1,35 +1,40 @@
-"""Which VM of a wave has its upkeep when; pure state, times are seconds.
+"""Schedules the upkeep of the VMs of a maintenance wave; pure state.
 
-Load pattern: half of the estate is due within half a minute, while every queue in
-turn asks for more than its pool holds. VMs are closed to new runs a little ahead, the
-emptiest of the pool with the most room first, and go down once nothing that would be
-lost runs on them, or after DRAIN_S.
+Times are in seconds.
+
+Load pattern: half of all VMs are due within half a minute, while each queue in turn
+exceeds the capacity of its pool. VMs are closed to new runs shortly before their
+upkeep, those with the fewest runs in the pool with the fewest draining VMs first. A VM
+is taken down once no finite task runs on it, whose work would be lost, or after
+DRAIN_TIMEOUT_S.
 """
 
 import attrs
 
 from .reports import STATE_UP, STATE_UPKEEP
 
-DRAIN_S = 3.0  # a little over the longest task seen on the sheets, 2.5 s
-GONE_S = 5.0  # longer than a move or an upkeep; the list is read page by page
-BACK_MARGIN_S = 0.3  # the platform's timers and its list
+DRAIN_TIMEOUT_S = 3.0  # slightly more than the longest known task, 2.5 s
+UNLISTED_TIMEOUT_S = 5.0  # longer than a move or upkeep; list pages differ in age
+RETURN_MARGIN_S = 0.3  # inaccuracy of the platform's timers and delay of its list
 
 
 @attrs.frozen
 class OrderedUpkeep:
-    """An upkeep that was ordered: the life that it ends, or "", and when."""
+    """An ordered upkeep; ends the incarnation ``executor`` unless ""."""
 
     executor: str
-    at: float
+    ordered_at: float
 
 
 @attrs.define(eq=False)
 class WaveState:
-    """An open wave; ``begun`` are the VMs whose upkeep surely began, or that are gone.
+    """State of a maintenance wave, opened at ``since``.
 
-    ``missing`` tells since when the list lacks a VM. An earlier order for a VM in
-    ``doubtful`` may have been carried out: that another one is answered as done does
-    not tell that the present life has ended.
+    ``begun`` are the VMs whose upkeep is known to have begun, or that are gone.
+    ``ordered`` maps a VM to its OrderedUpkeep, ``draining`` to the time since when it
+    gets no new runs, and ``unlisted_since`` to the time since when the platform does
+    not list it. An earlier order for a VM in ``doubtful`` may have been carried out,
+    so a later order answered as done does not prove that the current incarnation ended.
     """
 
     request: object
@@ -37,19 +42,20 @@
     begun: set = attrs.field(factory=set)
     ordered: dict = attrs.field(factory=dict)
     draining: dict = attrs.field(factory=dict)
-    missing: dict = attrs.field(factory=dict)
+    unlisted_since: dict = attrs.field(factory=dict)
     doubtful: set = attrs.field(factory=set)
 
     def left(self):
-        """Return the VMs whose upkeep has not begun."""
+        """Return the VMs whose upkeep is not known to have begun."""
         return [vm for vm in self.request.vms if vm not in self.begun]
 
 
 @attrs.frozen
 class UpkeepPlan:
-    """What to do now: executors closed to new runs, VMs that stay, and the orders.
+    """Result of a planning round.
 
-    An order is (vm, wave, executor).
+    ``cordoned`` are the executors to close to new runs, ``vms`` the VMs that must not
+    move to another pool, and ``orders`` the upkeeps to order, as (vm, wave, executor).
     """
 
     cordoned: frozenset
@@ -64,28 +70,29 @@
 
 
 class UpkeepPlanner:
-    """All open waves; an upkeep takes ``upkeep_s``."""
+    """Plans the upkeeps of all waves; an upkeep takes ``upkeep_s``."""
 
     def __init__(self, upkeep_s):
         self.waves = {}
         self._upkeep_s = upkeep_s
 
     def add(self, request, now):
-        """Take in an operator's WaveRequest."""
+        """Add the wave of an operator's WaveRequest, unless it is known."""
         if request.wave not in self.waves:
             self.waves[request.wave] = WaveState(request, now)
 
     def begun(self, wave, vm):
-        """Take note that the upkeep of a VM surely began."""
+        """Record that the upkeep of a VM is known to have begun."""
         state = self.waves.get(wave)
         if state is not None:
             state.begun.add(vm)
             state.draining.pop(vm, None)
 
     def resume(self, wave, vm, order, begun):
-        """Take in an OrderedUpkeep that an earlier scheduler stored before it left.
+        """Restore an OrderedUpkeep that an earlier scheduler stored.
 
-        Unless it ``begun`` for certain, nobody may have sent it.
+        ``begun`` means that the upkeep is known to have begun. Otherwise the order may
+        never have been sent.
         """
         state = self.waves[wave]
         state.ordered[vm] = order
@@ -95,14 +102,14 @@
             state.doubtful.add(vm)
 
     def look(self, listed, now):
-        """Take in a reading of the list; return what began.
-
-        Rows are (wave, VM, the executor that the order was to end).
+        """Apply a reading of the platform's VM list; return the upkeeps that began.
 
-        A VM that it lacks for GONE_S is gone. A new life alone proves no upkeep: a
-        move or a crash gives one as well.
+        Rows are (wave, vm, executor), the latter being the incarnation that the order
+        was to end. A VM that is unlisted for UNLISTED_TIMEOUT_S is gone. A new
+        incarnation alone does not prove an upkeep, since a move or a crash causes one
+        as well.
         """
-        seen = []
+        begun_upkeeps = []
         for wave, state in self.waves.items():
             for vm, order in list(state.ordered.items()):
                 machine = listed.get(vm)
@@ -110,28 +117,30 @@
                     continue
                 if machine.state == STATE_UPKEEP:
                     self.begun(wave, vm)
-                    seen.append((wave, vm, order.executor))
+                    begun_upkeeps.append((wave, vm, order.executor))
                 elif machine.executor not in ("", order.executor):
                     del state.ordered[vm]
                     state.doubtful.add(vm)
-            missing = {vm for vm in state.left() if vm not in listed}
-            state.missing = {vm: state.missing.get(vm, now) for vm in missing}
-            for vm, since in state.missing.items():
-                if now - since >= GONE_S:
+            unlisted = {vm for vm in state.left() if vm not in listed}
+            state.unlisted_since = {
+                vm: state.unlisted_since.get(vm, now) for vm in unlisted
+            }
+            for vm, since in state.unlisted_since.items():
+                if now - since >= UNLISTED_TIMEOUT_S:
                     self.begun(wave, vm)
-        return seen
+        return begun_upkeeps
 
     def is_complete(self, wave):
-        """Return whether every VM of a wave has begun its upkeep."""
+        """Return whether the upkeep of every VM of a wave has begun."""
         return not self.waves[wave].left()
 
     def plan(self, listed, executors, now, reserve, barred=frozenset()):
         """Return the UpkeepPlan.
 
-        ``listed`` maps a VM to its ListedMachine, ``executors`` an executor's id to
-        its Executor; ``reserve(executor)`` takes an executor out of every availability
-        budget, or returns False where one does not allow it. VMs in ``barred`` are not
-        ordered now, but count as down if they are.
+        ``listed`` maps a VM to its ListedMachine, ``executors`` an executor id to its
+        Executor. ``reserve(executor)`` counts the tasks of an executor as unavailable,
+        or returns False if an availability budget does not allow it. The upkeep of VMs
+        in ``barred`` is not ordered now, but they count as down if they are.
         """
         cordoned, orders = set(), []
         for wave, state in self.waves.items():
@@ -146,7 +155,7 @@
 
     def _plan_wave(self, state, listed, executors, now, reserve, barred):
         down = self._down(state, listed, now)
-        self._choose(state, listed, executors, now, down)
+        self._pick_draining(state, listed, executors, now, down)
         free = state.request.at_once - len(down)
         cordoned, orders = set(), []
         for vm, since in sorted(state.draining.items(), key=lambda pair: pair[1]):
@@ -155,7 +164,9 @@
                 continue
             if machine.executor:
                 cordoned.add(machine.executor)
-            if free > 0 and self._may_go(machine, executors, now - since, reserve):
+            if free > 0 and self._may_take_down(
+                machine, executors, now - since, reserve
+            ):
                 orders.append((vm, machine.executor))
                 free -= 1
         return _WavePlan(cordoned, orders)
@@ -173,19 +184,19 @@
             return False
         if order.executor:
             return machine.executor != order.executor
-        return now - order.at > self._upkeep_s + BACK_MARGIN_S
+        return now - order.ordered_at > self._upkeep_s + RETURN_MARGIN_S
 
-    def _may_go(self, machine, executors, waited, reserve):
+    def _may_take_down(self, machine, executors, waited_s, reserve):
         executor = executors.get(machine.executor)
         if executor is None:
             return not machine.executor
         finite = [item for item in executor.holdings.values() if not item.lasting]
-        return (not finite or waited >= DRAIN_S) and reserve(executor)
+        return (not finite or waited_s >= DRAIN_TIMEOUT_S) and reserve(executor)
 
-    def _choose(self, state, listed, executors, now, down):
-        """Pick the VMs to drain next: as many as may be down at once, and one more."""
-        wanted = state.request.at_once + 1 - len(state.draining)
-        if wanted <= 0:
+    def _pick_draining(self, state, listed, executors, now, down):
+        """Start draining VMs, up to one more than may be down at once."""
+        vacancies = state.request.at_once + 1 - len(state.draining)
+        if vacancies <= 0:
             return
         waiting = [
             vm
@@ -196,18 +207,22 @@
             and listed[vm].state == STATE_UP
             and (not listed[vm].executor or listed[vm].executor in executors)
         ]
-        busy = {}
+        draining_by_pool = {}
         for vm in state.draining:
             if vm in listed:
-                busy[listed[vm].pool] = busy.get(listed[vm].pool, 0) + 1
+                draining_by_pool[listed[vm].pool] = (
+                    draining_by_pool.get(listed[vm].pool, 0) + 1
+                )
 
         def rank(vm):
             executor = executors.get(listed[vm].executor)
-            held = len(executor.holdings) if executor is not None else 0
-            return (busy.get(listed[vm].pool, 0), held, vm)
+            runs = len(executor.holdings) if executor is not None else 0
+            return (draining_by_pool.get(listed[vm].pool, 0), runs, vm)
 
-        for _ in range(min(wanted, len(waiting))):
+        for _ in range(min(vacancies, len(waiting))):
             vm = min(waiting, key=rank)
             waiting.remove(vm)
             state.draining[vm] = now
-            busy[listed[vm].pool] = busy.get(listed[vm].pool, 0) + 1
+            draining_by_pool[listed[vm].pool] = (
+                draining_by_pool.get(listed[vm].pool, 0) + 1
+            )
--- a/tests/jobs/availability.feature
+++ b/tests/jobs/availability.feature
@@ -1,30 +1,30 @@
-Feature: which lasting tasks may be taken away
+Feature: availability budgets of lasting tasks
 
-  Scenario: of a step with a budget of one, only one task at a time is taken away
+  Scenario: with a budget of one, only one task of a step is stopped at a time
     Given a lasting step of 3 tasks with a budget of 1, each on its own executor
-    When all its tasks are at work
-    Then the first executor may be emptied
-    And the second executor may not be emptied while the first one is
-    When the first task is at work elsewhere
-    Then the second executor may be emptied
+    When all its tasks are ready
+    Then the first executor may be taken down
+    And the second executor may not be taken down while the first one is down
+    When the first task is ready on another executor
+    Then the second executor may be taken down
 
-  Scenario: a task on an executor that went silent counts as away
+  Scenario: a task on a silent executor counts as unavailable
     Given a lasting step of 3 tasks with a budget of 1, each on its own executor
-    When all its tasks are at work
+    When all its tasks are ready
     And the third executor has not reported for 3 s
-    Then the first executor may not be emptied while the third one is silent
+    Then the first executor may not be taken down while the third one is silent
 
-  Scenario: two tasks on one executor are moved off one at a time
+  Scenario: two tasks on one executor are stopped one at a time
     Given a lasting step of 2 tasks with a budget of 1, both on one executor
-    When all its tasks are at work
-    Then the first executor may not be emptied while it holds both
+    When all its tasks are ready
+    Then the first executor may not be taken down while it holds both
     And one of its tasks is stopped first
 
-  Scenario: a new scheduler takes nothing away that the last one may be stopping
+  Scenario: a new scheduler stops no task while stops of the previous one may be pending
     Given a lasting step of 2 tasks with a budget of 1, both on one executor
-    When another scheduler began 0.5 s ago
-    And all its tasks are at work
-    Then the first executor may not be emptied while stops may be under way
+    When another scheduler started 0.5 s ago
+    And all its tasks are ready
+    Then the first executor may not be taken down while stops may be pending
     And none of its tasks is stopped yet
-    When another scheduler began 3.0 s ago
+    When another scheduler started 3.0 s ago
     Then one of its tasks is stopped first
--- a/tests/jobs/upkeep.feature
+++ b/tests/jobs/upkeep.feature
@@ -1,16 +1,16 @@
-Feature: which VM of a wave has its upkeep when
+Feature: schedule of the upkeeps of a maintenance wave
 
-  Scenario: at most as many as the wave allows are down at once
+  Scenario: the wave limits how many VMs are down at once
     Given a wave of 6 VMs, 2 at once
     When upkeeps are planned and ordered
     Then 2 VMs are ordered
     When upkeeps are planned and ordered
     Then 2 VMs are ordered
-    When those VMs are up again with new lives
+    When those VMs are up again with new incarnations
     And upkeeps are planned and ordered
     Then 4 VMs are ordered
 
-  Scenario: a VM drains its tasks first, but not for ever
+  Scenario: a VM is drained before its upkeep, until a timeout
     Given a wave of 1 VMs, 1 at once
     When a task runs on every VM
     And upkeeps are planned and ordered
@@ -20,13 +20,13 @@
     And upkeeps are planned and ordered
     Then 1 VMs are ordered
 
-  Scenario: a VM whose end would break a budget waits
+  Scenario: the upkeep of a VM waits while an availability budget forbids it
     Given a wave of 2 VMs, 2 at once
-    When no budget allows an end
+    When no budget allows a VM to be taken down
     And upkeeps are planned and ordered
     Then 0 VMs are ordered
 
-  Scenario: a VM that is off needs no draining and counts as down for its time only
+  Scenario: a VM that is off needs no draining and counts as down only during its upkeep
     Given a wave of 2 VMs, 1 at once
     And all VMs are off
     When upkeeps are planned and ordered
@@ -36,48 +36,48 @@
     And upkeeps are planned and ordered
     Then 2 VMs are ordered
 
-  Scenario: VMs that another scheduler took down count, though they may not be ordered
+  Scenario: VMs taken down by another scheduler count as down even if they may not be ordered
     Given a wave of 6 VMs, 2 at once
     When upkeeps are planned and ordered
-    And those VMs may not be ordered by this scheduler
+    And this scheduler may not order the upkeep of those VMs
     And upkeeps are planned and ordered
     Then 2 VMs are ordered
 
-  Scenario: a VM that one reading of the list lacks is not taken as gone
+  Scenario: a VM that is missing from the list for a short time is not treated as gone
     Given a wave of 2 VMs, 2 at once
     When upkeeps are planned and ordered
     Then 2 VMs are ordered
     Given a wave of 2 VMs, 1 at once
-    When the list lacks the VM m1
+    When the VM list omits m1
     And upkeeps are planned and ordered
     Then the wave is not complete
-    When 3 s go by and the list has the VM m1 again
-    And the list lacks the VM m1
+    When 3 s go by and the VM list includes m1 again
+    And the VM list omits m1
     And 4 s go by
     Then the wave is not complete
     When 2 s go by
     Then the wave is complete
 
-  Scenario: an upkeep that the last scheduler may not have sent is ordered again
+  Scenario: an upkeep that the previous scheduler may not have ordered is ordered again
     Given a wave of 1 VMs, 1 at once
     And all VMs are off
-    When the last scheduler stored the upkeep of every VM and was killed
-    And every VM joins a pool with a new life
+    When the previous scheduler stored the upkeep of every VM and was killed
+    And every VM joins a pool with a new incarnation
     Then the wave is not complete
     When upkeeps are planned and ordered
     Then 1 VMs are ordered
-    And their lives are not taken as ended by that alone
+    And that order does not prove that their incarnations ended
 
-  Scenario: an upkeep that the list shows has begun
+  Scenario: an upkeep that the VM list shows counts as begun
     Given a wave of 1 VMs, 1 at once
-    When the last scheduler stored the upkeep of every VM and was killed
-    And every VM is shown in upkeep
+    When the previous scheduler stored the upkeep of every VM and was killed
+    And the VM list shows every VM in upkeep
     Then the wave is complete
 
-  Scenario: an upkeep that began under the last scheduler is not ordered again
+  Scenario: an upkeep that began under the previous scheduler is not ordered again
     Given a wave of 2 VMs, 2 at once
-    When the last scheduler stored that every upkeep began, and was killed
-    And every VM joins a pool with a new life
+    When the previous scheduler stored that every upkeep began, and was killed
+    And every VM joins a pool with a new incarnation
     Then the wave is complete
     When upkeeps are planned and ordered
     Then 0 VMs are ordered
--- a/tests/steps/jobs_availability.py
+++ b/tests/steps/jobs_availability.py
@@ -1,4 +1,4 @@
-"""Steps for the availability of lasting tasks."""
+"""Steps for the availability budgets of lasting tasks."""
 
 from behave import given, then, when
 from jobs_scheduler import executor_entry
@@ -10,21 +10,21 @@
 SETTLE_S = 2.0
 
 
-class AvailabilityWorld:
-    """The tasks of one step on executors."""
+class AvailabilityFixture:
+    """The lasting tasks of one step, on one executor or one executor each."""
 
-    def __init__(self, tasks, budget, together):
+    def __init__(self, tasks, budget, same_executor):
         self.step = Step(tasks, cores_m=100, lasting=True, may_miss=budget)
         self.names = [f"j.0.0.{index}" for index in range(tasks)]
         self.state = Availability(lambda name: self.step)
         self.executors = []
         self.now = 0.0
         for index, name in enumerate(self.names):
-            if not together or not self.executors:
+            if not same_executor or not self.executors:
                 self.executors.append(Executor(executor_entry(f"e{index}", 4)))
             self.executors[-1].hold(name, 1, self.step)
 
-    def may(self, index):
+    def may_take_down(self, index):
         return self.state.reserve(self.executors[index], self.now)
 
 
@@ -32,38 +32,38 @@
     "a lasting step of {tasks:d} tasks with a budget of {budget:d}, each on its own "
     "executor"
 )
-def step_apart(context, tasks, budget):
-    context.lasting = AvailabilityWorld(tasks, budget, False)
+def step_separate_executors(context, tasks, budget):
+    context.lasting = AvailabilityFixture(tasks, budget, False)
 
 
 @given(
     "a lasting step of {tasks:d} tasks with a budget of {budget:d}, both on one "
     "executor"
 )
-def step_together(context, tasks, budget):
-    context.lasting = AvailabilityWorld(tasks, budget, True)
+def step_one_executor(context, tasks, budget):
+    context.lasting = AvailabilityFixture(tasks, budget, True)
 
 
-@when("all its tasks are at work")
-def step_at_work(context):
+@when("all its tasks are ready")
+def step_ready(context):
     world = context.lasting
     assert not world.state.reported(world.names[0], 99, world.now)
     for name in world.names:
         assert world.state.reported(name, 100, world.now)
 
 
-@then("the {place} executor may be emptied")
-def step_may(context, place):
-    assert context.lasting.may(["first", "second"].index(place))
+@then("the {place} executor may be taken down")
+def step_may_take_down(context, place):
+    assert context.lasting.may_take_down(["first", "second"].index(place))
 
 
-@then("the {place} executor may not be emptied while {why}")
-def step_may_not(context, place, why):
-    assert not context.lasting.may(["first", "second"].index(place))
+@then("the {place} executor may not be taken down while {why}")
+def step_may_not_take_down(context, place, why):
+    assert not context.lasting.may_take_down(["first", "second"].index(place))
 
 
-@when("the first task is at work elsewhere")
-def step_elsewhere(context):
+@when("the first task is ready on another executor")
+def step_ready_elsewhere(context):
     world = context.lasting
     world.state.ended([world.names[0]])
     world.state.reported(world.names[0], 100, world.now)
@@ -78,18 +78,18 @@
 
 
 @then("one of its tasks is stopped first")
-def step_thinned(context):
+def step_one_stopped(context):
     world = context.lasting
     assert world.state.thin_out(world.executors[0], world.now) == [world.names[0]]
     assert world.state.thin_out(world.executors[0], world.now) == []
 
 
-@when("another scheduler began {seconds:g} s ago")
-def step_began(context, seconds):
+@when("another scheduler started {seconds:g} s ago")
+def step_new_scheduler(context, seconds):
     world = context.lasting
-    before = world.state
+    previous = world.state
     world.state = Availability(lambda name: world.step, world.now - seconds + SETTLE_S)
-    world.state._at_work = before._at_work
+    world.state._ready_at = previous._ready_at
 
 
 @then("none of its tasks is stopped yet")
--- a/tests/steps/jobs_upkeep.py
+++ b/tests/steps/jobs_upkeep.py
@@ -1,4 +1,4 @@
-"""Steps for the upkeep of VMs."""
+"""Steps for the upkeep of the VMs of a wave."""
 
 from behave import given, then, when
 from jobs_scheduler import executor_entry
@@ -11,8 +11,8 @@
 UPKEEP_S = 2.0
 
 
-class WaveWorld:
-    """A planner with the VMs of one wave."""
+class WaveFixture:
+    """A planner with one wave, its VMs and their executors."""
 
     def __init__(self, vms, at_once):
         self.planner = UpkeepPlanner(UPKEEP_S)
@@ -25,8 +25,8 @@
         self.listed = {vm: ListedMachine(vm, "s", "up", f"i-{vm}") for vm in names}
         self.planner.add(WaveRequest(1, names, 20.0, at_once), 0.0)
 
-    def renew(self, vms):
-        """Give VMs new lives in a pool."""
+    def restart(self, vms):
+        """List VMs in a pool with new incarnations of their executors."""
         for vm in vms:
             new = f"i-{vm}-2"
             self.listed[vm] = ListedMachine(vm, "s", "up", new)
@@ -49,7 +49,7 @@
 
 @given("a wave of {vms:d} VMs, {at_once:d} at once")
 def step_wave(context, vms, at_once):
-    context.wave = WaveWorld(vms, at_once)
+    context.wave = WaveFixture(vms, at_once)
 
 
 @given("all VMs are off")
@@ -74,14 +74,14 @@
     context.wave.now += seconds
 
 
-@when("no budget allows an end")
+@when("no budget allows a VM to be taken down")
 def step_budget(context):
     context.wave.allowed = False
 
 
-@when("those VMs are up again with new lives")
-def step_back(context):
-    context.wave.renew(context.wave.ordered)
+@when("those VMs are up again with new incarnations")
+def step_restarted(context):
+    context.wave.restart(context.wave.ordered)
 
 
 @then("{count:d} VMs are ordered")
@@ -95,49 +95,49 @@
     assert context.wave.plan.cordoned == {"i-m0"}
 
 
-@when("those VMs may not be ordered by this scheduler")
+@when("this scheduler may not order the upkeep of those VMs")
 def step_barred(context):
     context.wave.barred = frozenset(context.wave.ordered)
 
 
-def look(world):
+def apply_vm_list(world):
     world.planner.look(world.listed, world.now)
 
 
-@when("the list lacks the VM {vm}")
-def step_lacks(context, vm):
+@when("the VM list omits {vm}")
+def step_omitted(context, vm):
     world = context.wave
-    world.lacked = world.listed.pop(vm)
-    look(world)
+    world.omitted = world.listed.pop(vm)
+    apply_vm_list(world)
 
 
-@when("{seconds:g} s go by and the list has the VM {vm} again")
-def step_listed_again(context, seconds, vm):
+@when("{seconds:g} s go by and the VM list includes {vm} again")
+def step_included(context, seconds, vm):
     world = context.wave
     world.now += seconds
-    world.listed[vm] = world.lacked
-    look(world)
+    world.listed[vm] = world.omitted
+    apply_vm_list(world)
 
 
 @then("the wave is not complete")
 def step_incomplete(context):
-    look(context.wave)
+    apply_vm_list(context.wave)
     assert not context.wave.planner.is_complete(1)
 
 
 @then("the wave is complete")
 def step_complete(context):
-    look(context.wave)
+    apply_vm_list(context.wave)
     assert context.wave.planner.is_complete(1)
 
 
-@when("the last scheduler stored that every upkeep began, and was killed")
+@when("the previous scheduler stored that every upkeep began, and was killed")
 def step_stored_begun(context):
     context.begun = True
     step_stored(context)
 
 
-@when("the last scheduler stored the upkeep of every VM and was killed")
+@when("the previous scheduler stored the upkeep of every VM and was killed")
 def step_stored(context):
     world = context.wave
     context.begun = getattr(context, "begun", False)
@@ -146,18 +146,18 @@
         world.planner.resume(1, vm, order, context.begun)
 
 
-@when("every VM joins a pool with a new life")
+@when("every VM joins a pool with a new incarnation")
 def step_join(context):
-    context.wave.renew(list(context.wave.listed))
+    context.wave.restart(list(context.wave.listed))
 
 
-@when("every VM is shown in upkeep")
+@when("the VM list shows every VM in upkeep")
 def step_in_upkeep(context):
     world = context.wave
     world.listed = {vm: ListedMachine(vm, "s", "upkeep", "") for vm in world.listed}
 
 
-@then("their lives are not taken as ended by that alone")
+@then("that order does not prove that their incarnations ended")
 def step_doubtful(context):
     world = context.wave
     assert world.planner.waves[1].doubtful == set(world.ordered)
