--- a/src/cardamomgrade/jobs/__init__.py
+++ b/src/cardamomgrade/jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Jobs: steps of tasks that callers submit and that run on leased executors."""
+"""Jobs that callers submit: steps of tasks, which run on leased executors."""
--- a/src/cardamomgrade/jobs/agent.py
+++ b/src/cardamomgrade/jobs/agent.py
@@ -1,4 +1,8 @@
-"""The scheduler's side of one executor: its lease, its orders and its reports."""
+"""Scheduler side of one executor: renews its lease, sends orders, reads reports.
+
+An executor's life, or instance, is the time from one start of it to its end; a restart
+registers a new one under another id.
+"""
 
 import attrs
 
@@ -6,17 +10,17 @@
 from .lease import Lease
 from .reports import LeaseReport, OrderResult
 
-RENEW_WAIT_MS = 1000  # a quarter of the lease, so that three renewals may be lost
-LOOK_WAIT_MS = 250  # while a task comes up or is paced: executors measure each 500 ms
-UNSTORED_S = 1.0  # ends that cannot be stored must not hold up the lease
-RETRY_S = 0.2
-RESEND_S = 0.1
-STOP_REPEAT_S = 0.5
+RENEW_WAIT_MS = 1000  # a quarter of the lease, so that three renewals may fail
+WATCHED_WAIT_MS = 250  # while a task starts or is paced; executors measure every 500 ms
+UNSTORED_ENDS_WAIT_S = 1.0  # renew then, even if ends are not stored yet
+RENEW_RETRY_S = 0.2
+START_RETRY_S = 0.1
+STOP_RETRY_S = 0.5
 
 
 @event(605)
 class ExecutorReachable:
-    """An executor answers again, or no longer."""
+    """An executor answers renewals again, or no longer does."""
 
     executor: str
     reachable: bool
@@ -25,7 +29,7 @@
 
 @event(606)
 class ExecutorOver:
-    """An executor surely runs nothing any more; its runs are taken as lapsed."""
+    """An executor certainly runs nothing any more; its runs are ended as lapsed."""
 
     executor: str
     runs: int
@@ -34,7 +38,7 @@
 
 @event(607)
 class OrderAnswered:
-    """The answer to an order that was not simply taken."""
+    """An executor did not accept an order."""
 
     executor: str
     order: str
@@ -45,7 +49,7 @@
 
 @event(608)
 class StrayRun:
-    """An executor shows a run that this scheduler does not know; it is stopped."""
+    """An executor reports a run that this scheduler does not know; it is stopped."""
 
     executor: str
     task: str
@@ -54,7 +58,7 @@
 
 @event(609)
 class RunMissing:
-    """An executor neither runs nor lists as ended a run that it should have."""
+    """An executor reports a run that it accepted neither as running nor as ended."""
 
     executor: str
     task: str
@@ -62,40 +66,46 @@
 
 
 @attrs.define(eq=False)
-class _Sent:
-    """A start on its way; ``taken_at`` is set once the executor confirmed it.
+class _PendingStart:
+    """A start order until the run ends.
 
-    ``unsure`` tells that an earlier attempt had no answer and may have arrived.
+    ``accepted_at`` is when the executor confirmed it (monotonic seconds), or None;
+    ``deadline_ms`` is the lease deadline sent with it, or 0 to take a new one;
+    ``maybe_received`` is set when an attempt had no answer and may have arrived.
     """
 
     order: object
-    taken_at: float | None = None
+    accepted_at: float | None = None
     deadline_ms: int = 0
-    unsure: bool = False
+    maybe_received: bool = False
 
 
 class ExecutorAgent:
-    """Keeps one executor's lease while it holds runs.
+    """Renews the lease of one executor while runs are placed on it.
 
-    ``hub`` is told of what happens: ``on_ends``, ``on_over``, ``on_lapsed``,
-    ``on_withdraw``, ``on_missing``, ``on_unhealthy``, ``on_heard``, ``on_fenced``; and
-    ``on_loads`` returns whether to look more often. ``inherited`` tells that another
+    ``driver`` has the callbacks ``on_runs_ended``, ``on_executor_gone``,
+    ``on_lease_lapsed``, ``on_run_withdrawn``, ``on_run_missing``,
+    ``on_start_refused``, ``on_reachable`` and ``on_fenced``, and ``on_running``, which
+    returns whether to request reports more often. ``inherited`` is whether an earlier
     scheduler may have started runs here.
+
+    Ends of runs are numbered. They are acknowledged to the executor once stored:
+    ``_received_end`` >= ``_stored_end`` >= ``_acknowledged_end``.
     """
 
-    def __init__(self, loop, client, executor, hub, inherited, lease_ms):
+    def __init__(self, loop, client, executor, driver, inherited, lease_ms):
         self._loop = loop
         self._client = client
         self._executor = executor
-        self._hub = hub
+        self._driver = driver
         self._lease = Lease(loop.now(), executor.entry.clock_ms, lease_ms)
-        held = executor.holdings.items() if inherited else ()
-        self._inherited = {(task, item.run) for task, item in held}
-        self._sent = {}
+        placed = executor.holdings.items() if inherited else ()
+        self._inherited = {(task, item.run) for task, item in placed}
+        self._starts = {}
         self._stopping = {}
-        self._seen = 0
-        self._taken_to = 0
-        self._told = 0
+        self._stored_end = 0
+        self._received_end = 0
+        self._acknowledged_end = 0
         self._renewing = False
         self._renewed_at = loop.now()
         self._retry = None
@@ -104,55 +114,55 @@
 
     @property
     def name(self):
-        """The id of the executor's life."""
+        """The id of the executor's instance."""
         return self._executor.name
 
     def close(self):
-        """Send nothing more."""
+        """Stop renewals and orders, and drop the connections."""
         self._closed = True
         self._client.close()
 
-    def wake(self):
-        """Renew the lease if runs need it and no renewal is under way.
+    def renew_if_needed(self):
+        """Renew the lease if it is needed and no renewal is in flight.
 
-        An executor answers at once while it lists ends that were not acknowledged, so
-        the next renewal waits until they are stored.
+        An executor answers at once while it has ends that are not acknowledged, so the
+        next renewal waits until they are stored, but at most UNSTORED_ENDS_WAIT_S.
         """
-        if self._renewing or self._closed or not self._needed():
+        if self._renewing or self._closed or not self._needs_renewal():
             return
-        unstored = self._seen < self._taken_to
-        if not unstored or self._loop.now() - self._renewed_at >= UNSTORED_S:
+        unstored = self._stored_end < self._received_end
+        if not unstored or self._loop.now() - self._renewed_at >= UNSTORED_ENDS_WAIT_S:
             self._renew()
         elif self._retry is None:
-            self._retry = self._loop.call_later(UNSTORED_S, self._wake_again)
+            self._retry = self._loop.call_later(UNSTORED_ENDS_WAIT_S, self._on_retry)
 
-    def _wake_again(self):
+    def _on_retry(self):
         self._retry = None
-        self.wake()
+        self.renew_if_needed()
 
-    def _needed(self):
+    def _needs_renewal(self):
         executor = self._executor
-        probing = executor.silent and executor.listed
-        unacknowledged = self._told < self._taken_to
-        return bool(executor.holdings) or unacknowledged or probing
+        is_probe = executor.silent and executor.listed
+        unacknowledged = self._acknowledged_end < self._received_end
+        return bool(executor.holdings) or unacknowledged or is_probe
 
-    def ends_stored(self, number):
-        """Take note that ends up to ``number`` are stored."""
-        self._seen = max(self._seen, number)
-        self.wake()
+    def acknowledge_ends(self, number):
+        """Acknowledge ends up to ``number``, which are stored, at the next renewal."""
+        self._stored_end = max(self._stored_end, number)
+        self.renew_if_needed()
 
     # Renewals
 
     def _renew(self):
         self._renewing = True
         now = self._renewed_at = self._loop.now()
-        seen = self._seen
-        waits = (
+        stored_end = self._stored_end
+        may_wait = (
             self._executor.holdings
             and not self._executor.silent
             and not self._inherited
         )
-        wait_ms = self._wait_ms if waits else 0
+        wait_ms = self._wait_ms if may_wait else 0
         deadline = None if self._executor.silent else self._lease.grant(now)
         if not self._executor.holdings:
             deadline = None
@@ -160,128 +170,135 @@
         def done(report):
             self._renewing = False
             if isinstance(report, LeaseReport):
-                self._told = max(self._told, seen)
+                self._acknowledged_end = max(self._acknowledged_end, stored_end)
             if not self._closed:
                 self._on_report(report, now)
 
-        self._client.renew(deadline, seen, wait_ms, done)
+        self._client.renew(deadline, stored_end, wait_ms, done)
 
     def _on_report(self, report, sent_at):
         now = self._loop.now()
         if isinstance(report, LeaseReport):
-            self._lease.heard(now, report.clock_ms)
+            self._lease.update_clock(now, report.clock_ms)
             if self._executor.silent:
                 self._executor.silent = False
                 note(ExecutorReachable(self.name, True, ""))
-                self._hub.on_heard(self.name)
-            self._take_ends(report)
-            self._compare(report, sent_at)
+                self._driver.on_reachable(self.name)
+            self._process_ends(report)
+            self._reconcile(report, sent_at)
             self._inherited.clear()
-            self.wake()
+            self.renew_if_needed()
             return
         if report.result is OrderResult.FENCED:
-            self._hub.on_fenced(self.name)
+            self._driver.on_fenced(self.name)
             return
         if report.result is OrderResult.WRONG_LIFE:
-            self._over("another life answers at its address")
+            self._report_gone("another instance answers at its address")
             return
         if not self._executor.silent:
             self._executor.silent = True
             note(ExecutorReachable(self.name, False, report.result.value))
-        if self._lease.surely_lapsed(now) and self._executor.holdings:
-            self._lapse()
-        self._loop.call_later(RETRY_S, self.wake)
+        if self._lease.has_lapsed(now) and self._executor.holdings:
+            self._report_lapsed()
+        self._loop.call_later(RENEW_RETRY_S, self.renew_if_needed)
 
-    def _lapse(self):
+    def _report_lapsed(self):
         note(ExecutorOver(self.name, len(self._executor.holdings), "its lease lapsed"))
-        self._sent.clear()
+        self._starts.clear()
         self._stopping.clear()
-        self._hub.on_lapsed(self.name)
+        self._driver.on_lease_lapsed(self.name)
 
-    def _over(self, why):
+    def _report_gone(self, why):
         if not self._closed:
             note(ExecutorOver(self.name, len(self._executor.holdings), why))
-            self._hub.on_over(self.name)
-
-    def _take_ends(self, report):
-        fresh = [item for item in report.ended if item.number > self._taken_to]
-        if fresh:
-            self._taken_to = max(item.number for item in fresh)
-            for item in fresh:
-                self._sent.pop((item.task, item.run), None)
+            self._driver.on_executor_gone(self.name)
+
+    def _process_ends(self, report):
+        new_ends = [item for item in report.ended if item.number > self._received_end]
+        if new_ends:
+            self._received_end = max(item.number for item in new_ends)
+            for item in new_ends:
+                self._starts.pop((item.task, item.run), None)
                 self._stopping.pop((item.task, item.run), None)
-            self._hub.on_ends(self.name, fresh)
-
-    def _compare(self, report, sent_at):
-        """Settle what the executor runs against what it should run."""
-        shown = {(item.task, item.run) for item in report.running}
-        held = self._executor.holdings
-        for task, run in shown:
-            holding = held.get(task)
+            self._driver.on_runs_ended(self.name, new_ends)
+
+    def _reconcile(self, report, sent_at):
+        """Compare the runs that the executor reports with those placed on it."""
+        reported = {(item.task, item.run) for item in report.running}
+        placed = self._executor.holdings
+        for task, run in reported:
+            holding = placed.get(task)
             if holding is None or holding.run != run:
                 note(StrayRun(self.name, task, run))
                 self.stop(task, run)
-        for task, holding in list(held.items()):
-            if (task, holding.run) in shown:
+        for task, holding in list(placed.items()):
+            if (task, holding.run) in reported:
                 continue
-            sent = self._sent.get((task, holding.run))
+            pending = self._starts.get((task, holding.run))
             if (task, holding.run) in self._inherited:
-                self._hub.on_withdraw(self.name, task, holding.run)
-            elif sent is not None and sent.taken_at and sent.taken_at < sent_at:
+                self._driver.on_run_withdrawn(self.name, task, holding.run)
+            elif (
+                pending is not None
+                and pending.accepted_at
+                and pending.accepted_at < sent_at
+            ):
                 note(RunMissing(self.name, task, holding.run))
-                self._sent.pop((task, holding.run))
-                self._hub.on_missing(self.name, task, holding.run)
-        watched = self._hub.on_loads(self.name, report.running)
-        self._wait_ms = LOOK_WAIT_MS if watched else RENEW_WAIT_MS
+                self._starts.pop((task, holding.run))
+                self._driver.on_run_missing(self.name, task, holding.run)
+        watch_closely = self._driver.on_running(self.name, report.running)
+        self._wait_ms = WATCHED_WAIT_MS if watch_closely else RENEW_WAIT_MS
 
     # Orders
 
     def start(self, order):
-        """Send a start that is stored."""
-        sent = _Sent(order)
-        self._sent[order.task, order.run] = sent
-        self._send_start(sent)
-        self.wake()
-
-    def _send_start(self, sent):
-        order = sent.order
-        if self._closed or self._sent.get((order.task, order.run)) is not sent:
+        """Send a Start order, which must be stored already."""
+        pending = _PendingStart(order)
+        self._starts[order.task, order.run] = pending
+        self._send_start(pending)
+        self.renew_if_needed()
+
+    def _send_start(self, pending):
+        order = pending.order
+        if self._closed or self._starts.get((order.task, order.run)) is not pending:
             return
-        if not sent.deadline_ms:
-            sent.deadline_ms = self._lease.grant(self._loop.now())
+        if not pending.deadline_ms:
+            pending.deadline_ms = self._lease.grant(self._loop.now())
 
         def done(answer):
             if not self._closed:
-                self._on_started(sent, answer)
+                self._on_started(pending, answer)
 
-        self._client.start(order, sent.deadline_ms, done)
+        self._client.start(order, pending.deadline_ms, done)
 
-    def _on_started(self, sent, answer):
-        order, result = sent.order, answer.result
+    def _on_started(self, pending, answer):
+        order, result = pending.order, answer.result
         now = self._loop.now()
-        self._lease.heard(now, answer.clock_ms)
+        self._lease.update_clock(now, answer.clock_ms)
         if result is OrderResult.TAKEN:
-            sent.taken_at = now
+            pending.accepted_at = now
             return
         note(OrderAnswered(self.name, "start", order.task, order.run, result.value))
         if result is OrderResult.FENCED:
-            self._hub.on_fenced(self.name)
+            self._driver.on_fenced(self.name)
         elif result is OrderResult.WRONG_LIFE:
-            self._over("another life answers at its address")
+            self._report_gone("another instance answers at its address")
         elif result is OrderResult.OUTDATED:
-            sent.taken_at = now
-        elif sent.unsure or result in (OrderResult.NO_ANSWER, OrderResult.LATE):
+            pending.accepted_at = now
+        elif pending.maybe_received or result in (
+            OrderResult.NO_ANSWER,
+            OrderResult.LATE,
+        ):
             if result is OrderResult.LATE:
-                sent.deadline_ms = 0
+                pending.deadline_ms = 0
             elif result is OrderResult.NO_ANSWER:
-                sent.unsure = True
-            self._loop.call_later(RESEND_S, lambda: self._send_start(sent))
-        elif self._sent.pop((order.task, order.run), None) is not None:
-            self._hub.on_withdraw(self.name, order.task, order.run)
-            self._hub.on_unhealthy(self.name)
+                pending.maybe_received = True
+            self._loop.call_later(START_RETRY_S, lambda: self._send_start(pending))
+        elif self._starts.pop((order.task, order.run), None) is not None:
+            self._driver.on_run_withdrawn(self.name, order.task, order.run)
+            self._driver.on_start_refused(self.name)
 
     def stop(self, task, run):
-        """Stop a run, and again until its end is listed."""
+        """Stop a run; repeat the order until its end is reported."""
         if (task, run) not in self._stopping:
             self._stopping[task, run] = True
             self._send_stop(task, run)
@@ -291,37 +308,40 @@
             return
 
         def done(answer):
-            self._lease.heard(self._loop.now(), answer.clock_ms)
+            self._lease.update_clock(self._loop.now(), answer.clock_ms)
             holding = self._executor.holdings.get(task)
             if holding is None or holding.run != run:
                 self._stopping.pop((task, run), None)
             elif answer.result is OrderResult.FENCED:
-                self._hub.on_fenced(self.name)
+                self._driver.on_fenced(self.name)
             elif answer.result is OrderResult.TAKEN:
-                self._never_ran(task, run)
-                later()
+                self._settle_start(task, run)
+                repeat()
             else:
-                later()
+                repeat()
 
-        def later():
+        def repeat():
             if not self._closed:
-                self._loop.call_later(STOP_REPEAT_S, lambda: self._send_stop(task, run))
+                self._loop.call_later(STOP_RETRY_S, lambda: self._send_stop(task, run))
 
-        self._client.stop(_Run(task, run), done)
-        self.wake()
+        self._client.stop(_RunId(task, run), done)
+        self.renew_if_needed()
 
-    def _never_ran(self, task, run):
-        """A start without an answer is refused by now if it did not arrive."""
-        sent = self._sent.get((task, run))
-        if sent is not None and sent.taken_at is None:
-            sent.taken_at = self._loop.now()
+    def _settle_start(self, task, run):
+        """Treat a start without an answer as accepted, after its stop was accepted.
+
+        The executor refuses the start from now on if it has not arrived yet.
+        """
+        pending = self._starts.get((task, run))
+        if pending is not None and pending.accepted_at is None:
+            pending.accepted_at = self._loop.now()
 
     def pace(self, order, on_done):
-        """Send a pace."""
+        """Send a Pace order; ``on_done`` gets the OrderAnswer."""
         self._client.pace(order, on_done)
 
 
 @attrs.frozen
-class _Run:
+class _RunId:
     task: str
     run: int
--- a/src/cardamomgrade/jobs/driver.py
+++ b/src/cardamomgrade/jobs/driver.py
@@ -1,4 +1,4 @@
-"""Runs the scheduler of one term: feeds it, stores its decisions, sends its orders."""
+"""Runs the scheduler of one term: passes events in, stores and sends its decisions."""
 
 import time
 
@@ -9,7 +9,7 @@
 from .agent import ExecutorAgent
 from .availability import Availability
 from .follow import TopicFollower
-from .lease import LEASE_MS, longest_s
+from .lease import lapse_bound_s, LEASE_MS
 from .pace import Pacer
 from .records import (
     encode,
@@ -24,18 +24,18 @@
 from .vms import VmManager
 from .writer import Writer
 
-PLAN_PAUSE_S = 0.02  # decisions of this long share an append
-TICK_S = 0.15  # occurrences that come due, executors that come back
-LEARNED_S = 2.0  # what a new scheduler may have to learn again
-UNHEALTHY_REST_MS = 1000  # an executor that refuses is asked about once a second
-FORGET_MARGIN_S = 30.0  # after the time for which callers may ask
-ORDER_ON_ITS_WAY_S = 1.0  # until every executor has heard of the new epoch
+PLAN_DELAY_S = 0.02  # decisions made within this time share one append
+TICK_S = 0.15  # checks for due occurrences and for executors whose backoff ended
+DURATIONS_SAVE_INTERVAL_S = 2.0  # a change of scheduler loses at most this much
+REFUSAL_BACKOFF_MS = 1000  # an executor that refused a start is retried after this
+JOB_RETENTION_MARGIN_S = 30.0  # beyond status_ms, in which callers may query a job
+EPOCH_SPREAD_S = 1.0  # until every executor has received the new epoch
 MS = 1000
 
 
 @event(613)
 class EntryUnreadable:
-    """What an executor registered cannot be read; it gets no runs through it."""
+    """An executor's registration cannot be decoded and is ignored."""
 
     executor: str
     detail: str
@@ -43,7 +43,10 @@
 
 @event(612)
 class PaceOrdered:
-    """A task that fills is to work at another pace beside a task that serves."""
+    """The pace of a task that fills was changed to ``percent`` of full speed.
+
+    Tasks that fill use the capacity that serving tasks on the same executor leave.
+    """
 
     task: str
     run: int
@@ -52,8 +55,8 @@
 
 
 @attrs.frozen
-class Parts:
-    """What the orders for VMs share with those for executors."""
+class VmDependencies:
+    """Objects of a term that the driver and its VmManager share."""
 
     scheduler: object
     writer: object
@@ -61,7 +64,11 @@
 
 
 class Driver:
-    """One term of the scheduler; ``on_deposed(why)`` is called when it is over."""
+    """Runs one term of the scheduler.
+
+    A term is the time for which one node schedules, under one epoch.
+    ``on_deposed(why)`` is called once when another node takes over.
+    """
 
     def __init__(self, loop, cfg, platform, term, view, queue_cfg, on_deposed, metrics):
         self._loop = loop
@@ -72,10 +79,10 @@
         self._metrics = metrics
         self._epoch = term.epoch
         self._lease_ms = min(LEASE_MS, cfg.max_lease_ms)
-        self._learned_at = loop.now()
-        self._since = loop.now()
+        self._durations_saved_at = loop.now()
+        self._started_at = loop.now()
         self._agents = {}
-        self._marks = {}
+        self._end_numbers = {}
         self._plan_timer = None
         self._closed = False
         self._forget_at = {}
@@ -83,9 +90,9 @@
         self._scheduler = Scheduler(queue_cfg)
         self._jobs_topic = platform.jobs_topic()
         self._writer = Writer(loop, self._jobs_topic, term, self.depose, metrics)
-        settled_at = loop.now() + cfg.stop_ms / MS + ORDER_ON_ITS_WAY_S
-        self._availability = Availability(self._step, settled_at)
-        parts = Parts(self._scheduler, self._writer, self._availability)
+        settled_at = loop.now() + cfg.stop_ms / MS + EPOCH_SPREAD_S
+        self._availability = Availability(self._step_of, settled_at)
+        parts = VmDependencies(self._scheduler, self._writer, self._availability)
         self._vms = VmManager(loop, cfg, platform, term, view, parts, self)
         self._executors = TopicFollower(
             loop,
@@ -112,7 +119,7 @@
                     self._scheduler.cancel(name)
 
     def close(self, resign=False):
-        """End the term; ``resign`` tells the other nodes first."""
+        """End the term; with ``resign``, store a record that lets others take over."""
         if self._closed:
             return
         self._closed = True
@@ -130,15 +137,15 @@
             self._jobs_topic.close()
 
     def depose(self, why):
-        """End the term because another one began."""
+        """End the term because a newer one has begun."""
         if not self._closed:
             self.close()
             self._on_deposed(why)
 
-    # What the scheduler is told
+    # Input to the scheduler
 
     def gauges(self):
-        """Return what the scheduler has in hand, by name."""
+        """Return the counts of open jobs, executors and runs by metric name."""
         jobs = [item for item in self._scheduler.jobs.values() if not item.state.final]
         executors = self._scheduler.executors.values()
         return {
@@ -150,16 +157,16 @@
         }
 
     def read_back(self, term):
-        """Take note that a term record of this scheduler was read in the topic."""
+        """Acknowledge the append whose term record was read in the topic."""
         self._writer.read_back(term.beat)
 
     def set_config(self, queue_cfg):
-        """Take a new version of the configuration."""
+        """Apply a new QueueConfig."""
         self._scheduler.set_config(queue_cfg)
         self.request_plan()
 
     def add_wave(self, request):
-        """Take in an operator's WaveRequest."""
+        """Add an operator's WaveRequest."""
         self._vms.add_wave(request)
 
     def _on_job(self, spec):
@@ -177,12 +184,12 @@
             self.request_plan()
             return
         try:
-            found = self._platform.decode_executor(name, entry.value)
+            decoded = self._platform.decode_executor(name, entry.value)
         except RecordError as exc:
             note(EntryUnreadable(name, str(exc)))
             return
         known = name in self._scheduler.executors
-        self._scheduler.put_executor(found)
+        self._scheduler.put_executor(decoded)
         if not known and self._scheduler.executors[name].holdings:
             self._agent(name)
         self.request_plan()
@@ -194,9 +201,9 @@
     # Decisions
 
     def request_plan(self):
-        """Plan soon; what comes until then shares one append."""
+        """Plan after PLAN_DELAY_S; changes until then share one plan and one append."""
         if self._plan_timer is None and not self._closed:
-            self._plan_timer = self._loop.call_later(PLAN_PAUSE_S, self._plan)
+            self._plan_timer = self._loop.call_later(PLAN_DELAY_S, self._plan)
 
     def _plan(self):
         self._plan_timer = None
@@ -209,21 +216,21 @@
         self._metrics.time("plan", self._loop.now() - now_ms / MS)
         stops = self._scheduler.take_stops()
         dirty = self._scheduler.take_dirty()
-        marks, self._marks = self._marks, {}
-        if not (dirty or marks or stops):
+        end_numbers, self._end_numbers = self._end_numbers, {}
+        if not (dirty or end_numbers or stops):
             return
 
         def stored():
             if not self._closed:
-                self._send(starts, stops, marks)
+                self._send(starts, stops, end_numbers)
 
         self._writer.store(dirty, stored)
 
-    def _send(self, starts, stops, marks):
-        for name, number in marks.items():
+    def _send(self, starts, stops, end_numbers):
+        for name, number in end_numbers.items():
             agent = self._agents.get(name)
             if agent is not None:
-                agent.ends_stored(number)
+                agent.acknowledge_ends(number)
         for order in starts:
             if self._scheduler.is_live(order):
                 self._agent(order.executor).start(order)
@@ -238,17 +245,17 @@
         agent = self._agents.get(name)
         if agent is None:
             executor = self._scheduler.executors[name]
-            inherited = bool(executor.holdings) and not self._is_new(executor)
+            inherited = bool(executor.holdings) and not self._all_placed_here(executor)
             client = self._platform.executor(executor.entry, self._epoch)
             agent = ExecutorAgent(
                 self._loop, client, executor, self, inherited, self._lease_ms
             )
             self._agents[name] = agent
-            agent.wake()
+            agent.renew_if_needed()
         return agent
 
-    def _is_new(self, executor):
-        """Return whether all runs on an executor were placed in this term."""
+    def _all_placed_here(self, executor):
+        """Return whether every run on an executor was placed in this term."""
         return executor.name in self._scheduler.placed_here
 
     def _tick(self):
@@ -257,22 +264,22 @@
         self._timers = [self._loop.call_later(TICK_S, self._tick)]
         now = self._loop.now()
         self._scheduler.next_due_ms(time.time() * MS)
-        if now - self._since > longest_s(self._lease_ms):
+        if now - self._started_at > lapse_bound_s(self._lease_ms):
             for name in self._scheduler.lost_executors():
                 self._scheduler.lose_runs(name, now * MS)
         self._forget_jobs(now)
-        if now - self._learned_at > LEARNED_S:
-            self._learned_at = now
+        if now - self._durations_saved_at > DURATIONS_SAVE_INTERVAL_S:
+            self._durations_saved_at = now
             learned = self._scheduler.durations.record()
             self._writer.store([(KEY_LEARNED, encode(learned))])
         self.request_plan()
         if self._executors.loaded:
-            self._vms.look()
+            self._vms.refresh()
 
     def _forget_jobs(self, now):
         for name in self._scheduler.finished():
             due = self._forget_at.setdefault(
-                name, now + self._cfg.status_ms / MS + FORGET_MARGIN_S
+                name, now + self._cfg.status_ms / MS + JOB_RETENTION_MARGIN_S
             )
             if due < now:
                 self._scheduler.forget_job(name)
@@ -280,10 +287,10 @@
                 keys = (PREFIX_JOB, PREFIX_CANCEL, PREFIX_PROGRESS)
                 self._writer.store([(prefix + name, b"") for prefix in keys])
 
-    # What executors tell
+    # Callbacks of the executor agents
 
-    def on_ends(self, name, ends):
-        """Runs ended on an executor."""
+    def on_runs_ended(self, name, ends):
+        """Record the EndedTask items that an executor reported."""
         self._availability.ended(item.task for item in ends)
         for item in ends:
             self._metrics.count("run_ends", outcome=item.outcome.value)
@@ -295,36 +302,36 @@
                 item.checkpoint,
                 self._loop.now() * MS,
             )
-            self._marks[name] = max(self._marks.get(name, 0), item.number)
+            self._end_numbers[name] = max(self._end_numbers.get(name, 0), item.number)
         self.request_plan()
 
-    def on_withdraw(self, name, task, run):
-        """A run surely never began."""
+    def on_run_withdrawn(self, name, task, run):
+        """Take back a run that did not and will not begin."""
         self._scheduler.withdraw(name, task, run)
         self.request_plan()
 
-    def on_missing(self, name, task, run):
-        """A run that had begun is neither running nor listed as ended."""
+    def on_run_missing(self, name, task, run):
+        """End as lapsed a run that is reported neither as running nor as ended."""
         now_ms = self._loop.now() * MS
         self._scheduler.end(name, task, run, Outcome.LAPSED, "", now_ms)
         self.request_plan()
 
-    def on_unhealthy(self, name):
-        """An executor refuses work for now."""
-        self._scheduler.set_aside(name, self._loop.now() * MS + UNHEALTHY_REST_MS)
+    def on_start_refused(self, name):
+        """Place no runs on an executor for REFUSAL_BACKOFF_MS."""
+        self._scheduler.set_aside(name, self._loop.now() * MS + REFUSAL_BACKOFF_MS)
 
-    def on_heard(self, name):
-        """An executor answers again."""
+    def on_reachable(self, name):
+        """Plan again for an executor that answers again."""
         self._scheduler.reopen(name)
         self.request_plan()
 
-    def on_lapsed(self, name):
-        """The lease of an executor surely lapsed; its life may go on."""
+    def on_lease_lapsed(self, name):
+        """End the runs of an executor whose lease has lapsed; it may still exist."""
         self._scheduler.lose_runs(name, self._loop.now() * MS)
         self.request_plan()
 
-    def on_over(self, name):
-        """The life of an executor is over."""
+    def on_executor_gone(self, name):
+        """End the runs of an executor instance that no longer exists, and drop it."""
         self._scheduler.lose_runs(name, self._loop.now() * MS)
         self._scheduler.forget_executor(name)
         agent = self._agents.pop(name, None)
@@ -333,38 +340,44 @@
         self.request_plan()
 
     def on_fenced(self, name):
-        """An executor has seen a newer epoch."""
-        self.depose(f"executor {name} has seen a newer epoch")
+        """End the term, as an executor has received a newer epoch."""
+        self.depose(f"executor {name} has received a newer epoch")
 
-    def on_loads(self, name, running):
-        """Take in how runs fare; return whether to look again soon."""
-        serving, fills, coming_up = [], [], False
+    def on_running(self, name, running):
+        """Update availability and pace from the RunningTasks of an executor's report.
+
+        Returns whether the next report is wanted sooner: a lasting task is starting,
+        or tasks that fill run beside serving ones.
+        """
+        serving, fills, starting = [], [], False
         for item in running:
-            step = self._step(item.task)
+            step = self._step_of(item.task)
             if step is None:
                 continue
             if step.lasting:
                 at_work = self._availability.reported(
                     item.task, item.percent, self._loop.now()
                 )
-                coming_up = coming_up or not at_work
+                starting = starting or not at_work
             if step.fills:
                 fills.append((item.task, item.run))
             elif step.target_ms:
                 serving.append((item.load, step.target_ms))
         agent = self._agents.get(name)
         if agent is None or not fills:
-            return coming_up
+            return starting
         for order in self._pacer.decide(name, serving, fills, self._loop.now()):
             note(PaceOrdered(order.task, order.run, name, order.percent))
-            agent.pace(order, lambda answer, order=order: self._paced(order, answer))
-        return coming_up or bool(serving)
+            agent.pace(
+                order, lambda answer, order=order: self._on_pace_answer(order, answer)
+            )
+        return starting or bool(serving)
 
-    def _paced(self, order, answer):
+    def _on_pace_answer(self, order, answer):
         if answer.result is not OrderResult.TAKEN:
             self._pacer.failed(order)
 
-    def _step(self, task_name):
+    def _step_of(self, task_name):
         task_id = parse_task(task_name)
         job = self._scheduler.jobs.get(task_id.job) if task_id is not None else None
         return job.spec.steps[task_id.step] if job is not None else None
--- a/src/cardamomgrade/jobs/follow.py
+++ b/src/cardamomgrade/jobs/follow.py
@@ -1,18 +1,18 @@
-"""Follows one keyed topic of the store: the newest records first, then the log."""
+"""Follows a keyed topic of the store: loads the newest records, then reads the log."""
 
 from ..journal import event, note
 from .store import Entry, Page, Records, Trimmed
 
-READ_WAIT_MS = 500  # also the grain in which the silence of a scheduler is noticed
-READ_TIMEOUT_S = 1.2  # over READ_WAIT_MS and the answer of a store that is slow
-PROBE_TIMEOUT_S = 0.7  # of a read that does not wait, after a failure
+READ_WAIT_MS = 500  # a missing scheduler is noticed up to this much later
+READ_TIMEOUT_S = 1.2  # covers READ_WAIT_MS and the answer of a slow store
+PROBE_TIMEOUT_S = 0.7  # for reads that do not wait for new records
 RETRY_S = 0.1
 MS = 1000
 
 
 @event(620)
 class StoreReachable:
-    """Reads of a topic succeed again, or fail now."""
+    """Reads of a topic succeed again, or began to fail."""
 
     topic: str
     reachable: bool
@@ -21,7 +21,7 @@
 
 @event(621)
 class TopicLoaded:
-    """The newest records of a topic were read whole."""
+    """The newest record of every key of a topic was read."""
 
     topic: str
     keys: int
@@ -32,9 +32,9 @@
 class TopicFollower:
     """Calls ``on_entry(Entry)`` for each change of a key, in the order of the topic.
 
-    ``on_read`` is called after every good read, ``on_fail`` after every other.
-    ``pause_s`` is the shortest time
-    between two reads. ``fresh_at`` is when the last good answer came.
+    ``on_read()`` is called after every successful read, ``on_fail()`` after a failed
+    one. ``pause_s`` is the pause in seconds before the next read of the log, and
+    ``read_at`` the monotonic time of the last successful answer.
     """
 
     def __init__(
@@ -53,14 +53,14 @@
         self.pause_s = pause_s
         self.next_offset = 0
         self.loaded = False
-        self.fresh_at = float("-inf")
+        self.read_at = float("-inf")
 
     def start(self):
-        """Begin to read."""
+        """Load the newest records, then follow the log."""
         self._load("start")
 
     def close(self):
-        """Stop reading and drop the connections."""
+        """Stop reading and drop the connections of the client."""
         self._closed = True
         if self._timer is not None:
             self._timer.cancel()
@@ -72,50 +72,50 @@
         return self._failing
 
     def age(self):
-        """Return the seconds since the last good answer."""
-        return self._loop.now() - self.fresh_at
+        """Return the seconds since the last successful answer, infinite before it."""
+        return self._loop.now() - self.read_at
 
-    def _later(self, delay, callback):
+    def _schedule(self, delay, callback):
         if not self._closed:
             self._timer = self._loop.call_later(delay, callback)
 
-    def _load(self, why, after="", found=None, end=None):
-        found = {} if found is None else found
+    def _load(self, why, after="", entries=None, end=None):
+        entries = {} if entries is None else entries
 
         def done(page):
             if self._closed:
                 return
             if not isinstance(page, Page):
                 self._failed(page.detail)
-                self._later(RETRY_S, lambda: self._load(why))
+                self._schedule(RETRY_S, lambda: self._load(why))
                 return
             self._succeeded()
-            found.update((entry.key, entry) for entry in page.entries)
+            entries.update((entry.key, entry) for entry in page.entries)
             first_end = page.end if end is None else end
             if page.more and page.entries:
-                self._load(why, page.entries[-1].key, found, first_end)
+                self._load(why, page.entries[-1].key, entries, first_end)
             else:
-                self._loaded(found, first_end, why)
+                self._on_loaded(entries, first_end, why)
 
         self._client.newest(after, done, READ_TIMEOUT_S)
 
-    def _loaded(self, found, end, why):
-        gone = [
+    def _on_loaded(self, entries, end, why):
+        deleted = [
             key
             for key, offset in self._offsets.items()
-            if key not in found and offset < end
+            if key not in entries and offset < end
         ]
-        for key in gone:
-            self._give(Entry(end - 1, key, b""))
-        for entry in sorted(found.values(), key=lambda item: item.offset):
-            self._give(entry)
+        for key in deleted:
+            self._deliver(Entry(end - 1, key, b""))
+        for entry in sorted(entries.values(), key=lambda item: item.offset):
+            self._deliver(entry)
         self.next_offset = max(end, 0)
         self.loaded = True
-        note(TopicLoaded(self._topic, len(found), end, why))
+        note(TopicLoaded(self._topic, len(entries), end, why))
         self._on_read()
         self._read()
 
-    def _give(self, entry):
+    def _deliver(self, entry):
         if entry.offset <= self._offsets.get(entry.key, -1):
             return
         self._offsets[entry.key] = entry.offset
@@ -133,31 +133,31 @@
                 return
             if not isinstance(result, Records):
                 self._failed(result.detail)
-                self._later(RETRY_S, self._read)
+                self._schedule(RETRY_S, self._read)
                 return
-            self._take(result)
+            self._process(result)
             self._on_read()
-            self._later(self.pause_s, self._read)
+            self._schedule(self.pause_s, self._read)
 
         self._client.read(self.next_offset, wait_ms, done, timeout)
 
-    def _take(self, records):
+    def _process(self, records):
         self._succeeded()
         for entry in records.entries:
             if entry.offset >= self.next_offset:
-                self._give(entry)
+                self._deliver(entry)
         self.next_offset = max(self.next_offset, records.next_offset)
 
     def sync(self, client, on_done):
-        """Read up to the present end through another client.
+        """Read up to the current end of the topic through another client.
 
-        ``on_done(True)`` is called once all that was stored before this call was
-        given to ``on_entry``; ``on_done(False)`` when the store did not answer.
+        Calls ``on_done(True)`` once ``on_entry`` was called for every record stored
+        before this call, or ``on_done(False)`` when the read failed.
         """
 
         def done(result):
             if isinstance(result, Records) and not self._closed:
-                self._take(result)
+                self._process(result)
                 caught_up = result.next_offset >= result.end
                 if not caught_up:
                     self.sync(client, on_done)
@@ -173,7 +173,7 @@
             note(StoreReachable(self._topic, False, str(detail)))
 
     def _succeeded(self):
-        self.fresh_at = self._loop.now()
+        self.read_at = self._loop.now()
         if self._failing:
             self._failing = False
             note(StoreReachable(self._topic, True, ""))
--- a/src/cardamomgrade/jobs/reports.py
+++ b/src/cardamomgrade/jobs/reports.py
@@ -1,4 +1,8 @@
-"""What executors and the platform tell the scheduler, as plain types."""
+"""Types of the answers and reports that executors and the platform send.
+
+An executor's life, or instance, is the time from one start of it to its end; each has
+an id of its own, which the field ``executor`` holds.
+"""
 
 from enum import Enum, unique
 
@@ -9,8 +13,8 @@
 class Outcome(Enum):
     """How a run of a task ended.
 
-    ``LAPSED``: the lease ran out; ``BROKEN``: another member of its gang ended;
-    ``ALONE``: the other members did not come in time.
+    ``LAPSED``: the executor's lease ran out; ``BROKEN``: another member of its gang
+    ended; ``ALONE``: the other members of its gang did not start in time.
     """
 
     DONE = "done"
@@ -23,10 +27,11 @@
 
 @unique
 class OrderResult(Enum):
-    """What became of an order to an executor.
+    """Result of an order to an executor.
 
-    ``NOT_DONE``: nothing was done and nothing will be; ``NO_ANSWER``: it may have been
-    carried out, or may still be.
+    ``TAKEN``: accepted; ``FENCED``: the executor has received a newer epoch;
+    ``WRONG_LIFE``: another instance answers at the address; ``NOT_DONE``: not carried
+    out, now or later; ``NO_ANSWER``: may have been carried out, or may still be.
     """
 
     TAKEN = "taken"
@@ -43,7 +48,7 @@
 
 @attrs.frozen
 class OrderAnswer:
-    """An OrderResult and the executor's clock in ms, or 0 when it told none."""
+    """An OrderResult and the executor's clock in ms, or 0 if the answer had none."""
 
     result: OrderResult
     clock_ms: int = 0
@@ -51,10 +56,11 @@
 
 @attrs.frozen
 class RunningTask:
-    """A run on an executor; ``percent`` is 100 when a lasting task is at work.
+    """A run that an executor reports as running.
 
-    ``load`` is the tail of the response times in ms of a task that serves, and the
-    thousandths of a core in use of any other.
+    ``percent`` is its progress, 100 when a lasting task is at work. ``load`` is the
+    tail of the response times in ms for a task that serves, and the thousandths of a
+    core in use for any other.
     """
 
     task: str
@@ -66,7 +72,7 @@
 
 @attrs.frozen
 class EndedTask:
-    """The end of a run; ``number`` counts the ends of one life of an executor."""
+    """The end of a run; ``number`` counts the ends on one instance of an executor."""
 
     number: int
     task: str
@@ -77,7 +83,7 @@
 
 @attrs.frozen
 class LeaseReport:
-    """An executor's answer to a renewal of its lease; its clock in ms."""
+    """An executor's answer to a renewal: its clock, RunningTasks and EndedTasks."""
 
     clock_ms: int
     running: tuple
@@ -86,7 +92,11 @@
 
 @attrs.frozen
 class ExecutorEntry:
-    """An executor as it registered itself; sizes in thousandths of a core and MB."""
+    """An executor as it registered itself.
+
+    ``cores_m`` is in thousandths of a core, ``clock_ms`` the executor's clock at the
+    registration.
+    """
 
     executor: str
     service: str
@@ -108,9 +118,10 @@
 
 @attrs.frozen
 class ListedMachine:
-    """A VM of the executors in the platform's list; ``executor`` is its life.
+    """A VM in the platform's list of VMs for executors.
 
-    ``state`` is STATE_UP, STATE_UPKEEP or any other word: neither of the two.
+    ``executor`` is the id of the executor instance on it, or "". ``state`` is STATE_UP,
+    STATE_UPKEEP, or another text for a VM that is in neither state.
     """
 
     vm: str
@@ -121,7 +132,10 @@
 
 @attrs.frozen
 class WaveRequest:
-    """An operator's request that VMs have their upkeep, few at once, in time."""
+    """An operator's request for the upkeep of VMs, ``at_once`` of them at a time.
+
+    ``duration_s`` is the time in which all should have it.
+    """
 
     wave: int
     vms: tuple
@@ -131,7 +145,11 @@
 
 @unique
 class VmOrderResult(Enum):
-    """What became of an order for a VM."""
+    """Result of an order for a VM.
+
+    ``FENCED``: the platform has received a newer epoch; ``NOT_DONE``: not carried out,
+    now or later; ``NO_ANSWER``: may have been carried out, or may still be.
+    """
 
     DONE = "done"
     FENCED = "fenced"
--- a/src/cardamomgrade/jobs/store.py
+++ b/src/cardamomgrade/jobs/store.py
@@ -1,4 +1,4 @@
-"""Types of the calls to a keyed topic of the store.
+"""Types of the calls to a keyed topic of the store, and of their results.
 
 A topic is a log of (key, value) records; an empty value deletes its key. A client of
 a topic has ``append(items, on_done, timeout, at, writer)``, ``cancel_append()``,
@@ -13,9 +13,12 @@
 
 @unique
 class AppendFate(Enum):
-    """Why an append gave no offset.
+    """Why an append returned no offset.
 
-    ``NOT_DONE`` is certain; after ``UNKNOWN`` it may be done, or be done later.
+    ``NOT_DONE``: not carried out, now or later; ``UNKNOWN``: may have been carried out,
+    or may still be; ``MOVED_ON``: the topic does not end at the offset given;
+    ``FENCED``: the store has an append of a newer epoch of this writer;
+    ``OUT_OF_SEQUENCE``: the number does not follow that of the last append.
     """
 
     NOT_DONE = "not-done"
@@ -27,7 +30,7 @@
 
 @attrs.frozen
 class WriterMark:
-    """A writer's epoch and the number of its append, which the store checks."""
+    """A writer's name and epoch and the number of its append, checked by the store."""
 
     name: str
     epoch: int
@@ -36,14 +39,14 @@
 
 @attrs.frozen
 class Appended:
-    """The offset of the first record of an append."""
+    """A successful append; ``offset`` is that of its first record."""
 
     offset: int
 
 
 @attrs.frozen
 class AppendFailed:
-    """An append that gave no offset."""
+    """An append that returned no offset; ``detail`` is for the log."""
 
     fate: AppendFate
     detail: str
@@ -54,7 +57,7 @@
 
 @attrs.frozen
 class Entry:
-    """One record of a topic."""
+    """A record of a topic; an empty ``value`` deletes the key."""
 
     offset: int
     key: str
@@ -63,7 +66,7 @@
 
 @attrs.frozen
 class Records:
-    """Records in order, where to read on, and the end of the topic."""
+    """Records of a read in order, the offset of the next read, and the topic's end."""
 
     end: int
     next_offset: int
@@ -72,7 +75,10 @@
 
 @attrs.frozen
 class Page:
-    """The newest record of some keys; ``end`` is the topic's end at the read."""
+    """The newest record of some keys; ``more`` is whether further keys follow.
+
+    ``end`` is the topic's end at the time of the read.
+    """
 
     entries: tuple
     more: bool
@@ -81,14 +87,14 @@
 
 @attrs.frozen
 class Trimmed:
-    """The records asked for are gone; ``first`` is the oldest one retained."""
+    """The records of a read were deleted; ``first`` is the oldest offset retained."""
 
     first: int
 
 
 @attrs.frozen
 class ReadFailed:
-    """A read without an answer that can be used."""
+    """A read without an answer, or with one that cannot be decoded."""
 
     detail: str
 
--- a/src/cardamomgrade/jobs/vms.py
+++ b/src/cardamomgrade/jobs/vms.py
@@ -1,4 +1,4 @@
-"""The scheduler's orders for VMs: upkeep in waves, and moves between pools."""
+"""Sends the scheduler's orders for VMs: upkeep in waves, and moves between pools."""
 
 from ..journal import event, note
 from .pools import PoolPlanner
@@ -12,15 +12,15 @@
 from .reports import VmOrderResult
 from .upkeep import OrderedUpkeep, UpkeepPlanner
 
-RETRY_S = 0.2
-VM_LEASE_MARGIN_S = 0.3  # the platform's clock and ours
-STATUS_TIMEOUT_S = 1.0
+MOVE_RETRY_S = 0.2
+VM_LEASE_MARGIN_S = 0.3  # the platform's clock may differ from this node's
+STATUS_APPEND_TIMEOUT_S = 1.0
 MS = 1000
 
 
 @event(610)
 class WaveChanged:
-    """A wave began, or every VM of it has begun its upkeep."""
+    """A maintenance wave began, or each of its VMs has begun its upkeep."""
 
     wave: int
     state: str
@@ -30,7 +30,7 @@
 
 @event(611)
 class UpkeepOrdered:
-    """The upkeep of a VM was ordered and answered."""
+    """The platform answered the order of a VM's upkeep with ``result``."""
 
     vm: str
     wave: int
@@ -40,7 +40,7 @@
 
 @event(614)
 class MoveOrdered:
-    """A VM was ordered into another pool, and the answer."""
+    """The platform answered the order to move a VM with ``result``."""
 
     vm: str
     pool: str
@@ -49,50 +49,51 @@
 
 
 class VmManager:
-    """Orders for VMs in one term.
+    """Plans and sends the orders for VMs in one term.
 
-    An order is stored before it leaves, so that the next scheduler knows which VMs
-    only this one may order for a while. ``hub`` has ``request_plan()``,
-    ``on_over(executor)`` and ``depose(why)``.
+    After an order, the platform takes orders for that VM only from the same scheduler
+    until a lease (``machine_lease_ms``) ends. Each order is stored before it is sent,
+    so that the next scheduler knows these VMs. ``driver`` has ``request_plan()``,
+    ``on_executor_gone(executor)`` and ``depose(why)``.
     """
 
-    def __init__(self, loop, cfg, platform, term, view, parts, hub):
+    def __init__(self, loop, cfg, platform, term, view, parts, driver):
         self._loop = loop
         self._platform = platform
         self._view = view
-        self._hub = hub
+        self._driver = driver
         self._scheduler = parts.scheduler
         self._writer = parts.writer
         self._availability = parts.availability
         self._epoch = term.epoch
         self._vm_lease_s = cfg.machine_lease_ms / MS + VM_LEASE_MARGIN_S
-        self._since = loop.now()
+        self._started_at = loop.now()
         self._machines = platform.machines(term.epoch)
         self._status_topic = platform.status_topic()
         self._pools = PoolPlanner()
         self._upkeep = UpkeepPlanner(cfg.upkeep_ms / MS)
-        self._listed = {}
+        self._vms_by_name = {}
         self._listing = False
-        self._ordering = set()
-        self._moving = {}
+        self._upkeep_in_flight = set()
+        self._ending_by_move = {}
         self._announced = set()
         self._closed = False
 
     def close(self):
-        """Order nothing more."""
+        """Send no more orders, and drop the connections."""
         self._closed = True
         self._machines.close()
         self._status_topic.close()
 
     def add_wave(self, request):
-        """Take in an operator's WaveRequest."""
+        """Add an operator's WaveRequest, with the upkeeps already stored for it."""
         self._upkeep.add(request, self._loop.now())
         for vm, record in self._view.upkeeps.items():
             if record.wave == request.wave and vm in request.vms:
-                order = OrderedUpkeep(record.executor, self._since)
+                order = OrderedUpkeep(record.executor, self._started_at)
                 self._upkeep.resume(request.wave, vm, order, record.begun)
 
-    def look(self):
+    def refresh(self):
         """Read the list of VMs, then plan upkeeps and moves."""
         if self._closed or self._listing:
             return
@@ -103,35 +104,35 @@
             if self._closed:
                 return
             if isinstance(listed, tuple):
-                self._listed = {item.vm: item for item in listed}
+                self._vms_by_name = {item.vm: item for item in listed}
                 self._plan_vms()
 
         self._machines.list_vms(done)
 
     def _plan_vms(self):
         now = self._loop.now()
-        if self._listed:
-            for wave, vm, executor in self._upkeep.look(self._listed, now):
+        if self._vms_by_name:
+            for wave, vm, executor in self._upkeep.look(self._vms_by_name, now):
                 self._store_begun(wave, vm, executor)
         for wave, state in self._upkeep.waves.items():
             self._announce(wave, state)
         plan = self._upkeep.plan(
-            self._listed,
+            self._vms_by_name,
             self._scheduler.executors,
             now,
             self._reserve,
-            self._leased(),
+            self._locked_vms(),
         )
         for name in plan.cordoned:
             executor = self._scheduler.executors.get(name)
             if executor is not None:
                 for task in self._availability.thin_out(executor, now):
                     self._scheduler.stop_run(task)
-        moving = self._plan_moves(now, plan.vms)
-        self._scheduler.cordon(plan.cordoned | moving)
-        self._hub.request_plan()
+        ending = self._plan_moves(now, plan.vms)
+        self._scheduler.cordon(plan.cordoned | ending)
+        self._driver.request_plan()
         for vm, wave, executor in plan.orders:
-            if vm not in self._ordering:
+            if vm not in self._upkeep_in_flight:
                 self._order_upkeep(vm, wave, executor)
 
     def _store_begun(self, wave, vm, executor):
@@ -152,18 +153,18 @@
                 self._announced.discard((wave, completed))
 
         item = self._platform.encode_wave_status(wave, completed)
-        self._status_topic.append([item], done, STATUS_TIMEOUT_S)
+        self._status_topic.append([item], done, STATUS_APPEND_TIMEOUT_S)
 
-    def _leased(self):
-        """Return the VMs that only an earlier scheduler may order now."""
-        if self._loop.now() - self._since >= self._vm_lease_s:
+    def _locked_vms(self):
+        """Return the VMs whose order lease an earlier scheduler may still hold."""
+        if self._loop.now() - self._started_at >= self._vm_lease_s:
             return set()
         return {
             vm for vm, record in self._view.orders.items() if record.epoch < self._epoch
         }
 
     def _store_order(self, vm, items, on_stored):
-        """Store that this scheduler orders a VM, and forget it after its lease."""
+        """Store that this scheduler orders a VM; delete the record after the lease."""
         key = PREFIX_ORDER + vm
         record = encode(VmOrderRecord(self._epoch))
 
@@ -179,30 +180,30 @@
 
         self._writer.store([*items, (key, record)], stored)
 
-    def _plan_moves(self, now, staying):
-        """Order moves between pools; return the executors that they will end."""
-        barred = staying | self._ordering | self._leased()
+    def _plan_moves(self, now, wave_vms):
+        """Order moves between pools; return the executors that open moves end."""
+        excluded = wave_vms | self._upkeep_in_flight | self._locked_vms()
         loads = self._scheduler.pool_loads(now * MS)
-        for move in self._pools.plan(loads, self._listed, now, barred):
+        for move in self._pools.plan(loads, self._vms_by_name, now, excluded):
             self._pools.ordered(move, now)
             if move.executor:
-                self._moving[move.vm] = move.executor
+                self._ending_by_move[move.vm] = move.executor
             self._order_move(move)
-        return set(self._moving.values())
+        return set(self._ending_by_move.values())
 
     def _order_move(self, move):
         def answered(result):
             if self._closed:
                 return
             if result is VmOrderResult.NO_ANSWER:
-                self._loop.call_later(RETRY_S, lambda: self._order_move(move))
+                self._loop.call_later(MOVE_RETRY_S, lambda: self._order_move(move))
                 return
             note(MoveOrdered(move.vm, move.pool, move.executor, result.value))
-            self._moving.pop(move.vm, None)
+            self._ending_by_move.pop(move.vm, None)
             if result is VmOrderResult.DONE:
-                self._hub.on_over(move.executor)
+                self._driver.on_executor_gone(move.executor)
             elif result is VmOrderResult.FENCED:
-                self._hub.depose("the platform has seen a newer holder")
+                self._driver.depose("the platform has received a newer epoch")
             else:
                 self._pools.refused(move, self._loop.now())
 
@@ -215,23 +216,23 @@
     def _reserve(self, executor):
         return self._availability.reserve(executor, self._loop.now())
 
-    def _held_by(self, name):
+    def _tasks_on(self, name):
         executor = self._scheduler.executors.get(name)
         return set(executor.holdings) if executor is not None else set()
 
     def _order_upkeep(self, vm, wave, executor):
-        self._ordering.add(vm)
+        self._upkeep_in_flight.add(vm)
         state = self._upkeep.waves[wave]
         state.ordered[vm] = OrderedUpkeep(executor, self._loop.now())
         record = UpkeepRecord(wave, executor, self._epoch)
-        reserved = self._held_by(executor)
+        tasks = self._tasks_on(executor)
 
         def answered(result):
-            self._ordering.discard(vm)
+            self._upkeep_in_flight.discard(vm)
             if result is VmOrderResult.DONE:
-                self._availability.ended(reserved)
+                self._availability.ended(tasks)
             else:
-                self._availability.kept(reserved)
+                self._availability.kept(tasks)
             if self._closed:
                 return
             note(UpkeepOrdered(vm, wave, executor, result.value))
@@ -240,13 +241,13 @@
                 self._store_begun(wave, vm, executor)
                 self._announce(wave, state)
                 if vm not in state.doubtful:
-                    self._hub.on_over(executor)
+                    self._driver.on_executor_gone(executor)
             elif result in (VmOrderResult.BUSY, VmOrderResult.NOT_DONE):
                 state.ordered.pop(vm, None)
             elif result is VmOrderResult.NO_ANSWER:
                 state.doubtful.add(vm)
             elif result is VmOrderResult.FENCED:
-                self._hub.depose("the platform has seen a newer holder")
+                self._driver.depose("the platform has received a newer epoch")
 
         def stored():
             self._machines.upkeep(vm, wave, answered)
--- a/src/cardamomgrade/jobs/writer.py
+++ b/src/cardamomgrade/jobs/writer.py
@@ -1,8 +1,8 @@
-"""The scheduler's appends: one under way at a time, numbered under its epoch.
+"""The scheduler's appends: one in flight at a time, numbered within its epoch.
 
-Load pattern: the store carries appends out and loses its answers. Every append holds a
-term record with its number, so that reading the topic acknowledges it as well as the
-store's answer, and long before a timeout.
+Load pattern: the store performs appends but its answers are lost. Every append contains
+a term record with its number, so that reading the topic acknowledges it as well as the
+store's answer does, and long before the timeout.
 """
 
 import random
@@ -15,15 +15,15 @@
 from .term import BEAT_S
 
 WRITER_NAME = "scheduler"
-APPEND_TIMEOUT_S = 0.6  # over the answer of a store that is 60 times as slow
-RETRY_S = 0.05
+APPEND_TIMEOUT_S = 0.6  # covers a store that answers 60 times slower than usual
+APPEND_RETRY_S = 0.05
 FIRST_SEQUENCE_LIMIT = 2**30
-BATCH_BYTES = 512 * 1024  # a quarter of what one call of the store takes
+MAX_BATCH_BYTES = 512 * 1024  # a quarter of the store's limit for one call
 
 
 @event(624)
 class AppendRetried:
-    """An append of the scheduler was not acknowledged and is sent until it is."""
+    """An append of the scheduler was not acknowledged; it is repeated until it is."""
 
     sequence: int
     fate: str
@@ -36,11 +36,15 @@
     callbacks: list
     sequence: int
     sent_at: float
-    noted: bool = False
+    logged: bool = False
 
 
 class Writer:
-    """Stores records in order and calls back once they are acknowledged."""
+    """Stores records in order and calls back once they are acknowledged.
+
+    Every append renews the term by a higher ``beat``, the number of the append; without
+    other records one is sent each BEAT_S.
+    """
 
     def __init__(self, loop, client, term, on_deposed, metrics):
         self._loop = loop
@@ -58,14 +62,14 @@
         self._timer = loop.call_later(BEAT_S, self._beat)
 
     def close(self):
-        """Write no more; records that wait are dropped."""
+        """Stop writing; drop records that were not sent."""
         self._closed = True
         self._timer.cancel()
 
     def store(self, items, on_stored=None):
-        """Store (key, value) pairs; ``on_stored()`` follows their acknowledgement.
+        """Store (key, value) pairs; call ``on_stored()`` once all are acknowledged.
 
-        A newer value of a key that still waits takes the place of the older one.
+        A newer value replaces that of the same key if it has not been sent yet.
         """
         self._items.update(items)
         if on_stored is not None:
@@ -80,7 +84,7 @@
             self.store([])
 
     def resign(self):
-        """Tell the others that this node schedules no more, and beat no more."""
+        """Store a term record that ends the term, and stop sending beats."""
         self._timer.cancel()
         self._term = attrs.evolve(self._term, resigned=True)
         self._items[KEY_TERM] = b""
@@ -101,7 +105,7 @@
             value = self._items.pop(key)
             items.append((key, value))
             size += len(key) + len(value)
-            if size > BATCH_BYTES:
+            if size > MAX_BATCH_BYTES:
                 break
         callbacks = []
         if not self._items:
@@ -113,11 +117,13 @@
         if self._closed:
             return
         batch = self._batch
-        mark = WriterMark(WRITER_NAME, self._epoch, batch.sequence)
-        self._client.append(batch.items, self._done, APPEND_TIMEOUT_S, writer=mark)
+        position = WriterMark(WRITER_NAME, self._epoch, batch.sequence)
+        self._client.append(
+            batch.items, self._on_answer, APPEND_TIMEOUT_S, writer=position
+        )
 
     def read_back(self, sequence):
-        """Take note that an append was read in the topic."""
+        """Acknowledge the append in flight if its term record was read in the topic."""
         if self._batch is not None and self._batch.sequence == sequence:
             self._client.cancel_append()
             self._acknowledged()
@@ -130,7 +136,7 @@
             callback()
         self._flush()
 
-    def _done(self, result):
+    def _on_answer(self, result):
         if self._closed or self._batch is None:
             return
         if isinstance(result, Appended):
@@ -141,10 +147,10 @@
             return
         batch = self._batch
         self._metrics.count("appends", by="scheduler", fate=result.fate.value)
-        if not batch.noted:
-            batch.noted = True
+        if not batch.logged:
+            batch.logged = True
             note(AppendRetried(batch.sequence, result.fate.value, result.detail))
-        self._loop.call_later(RETRY_S, lambda: self._send_again(batch))
+        self._loop.call_later(APPEND_RETRY_S, lambda: self._send_again(batch))
 
     def _send_again(self, batch):
         if self._batch is batch:
@@ -152,10 +158,10 @@
 
 
 def first_term(term, node, incarnation):
-    """Return the TermRecord with which a node stands.
+    """Return the TermRecord that a candidate for scheduler appends.
 
-    It begins at a random number: the store takes an append of the same epoch and
-    number as a repeat, and would answer a second candidate with the first one's.
+    Its first number is random: the store takes an append with the same epoch and number
+    as a repetition, and would give a second candidate the answer of the first one.
     """
     first = random.randrange(1, FIRST_SEQUENCE_LIMIT)
     return TermRecord(term.epoch + 1, node, incarnation, first, False)
--- a/tests/steps/jobs_lease.py
+++ b/tests/steps/jobs_lease.py
@@ -20,29 +20,29 @@
 
 
 def clock(context, now):
-    """Return what the executor's clock shows at ``now``."""
+    """Return the executor's clock in ms at ``now`` in seconds."""
     return START_MS + now * 1000 * context.rate
 
 
-@then("the lease has not surely lapsed while the executor may still run")
+@then("the lease does not count as lapsed while the executor may still run tasks")
 def step_not_lapsed(context):
     for tick in range(600):
         now = tick / 100
         if clock(context, now) <= context.deadline:
-            assert not context.lease.surely_lapsed(now), now
+            assert not context.lease.has_lapsed(now), now
 
 
-@then("it has surely lapsed soon after")
+@then("it counts as lapsed soon after")
 def step_lapsed(context):
-    assert context.lease.surely_lapsed(context.length / 1000 / 0.98 + 0.2)
+    assert context.lease.has_lapsed(context.length / 1000 / 0.98 + 0.2)
 
 
-@when("the executor's clock was heard 3 s ago")
+@when("the executor's clock was last received 3 s ago")
 def step_heard(context):
-    context.lease.heard(0.0, START_MS)
+    context.lease.update_clock(0.0, START_MS)
 
 
-@then("a deadline granted now is at most {length:d} ms ahead there")
+@then("a deadline granted now is at most {length:d} ms ahead of the executor's clock")
 def step_bounded(context, length):
     for rate in (0.98, 1.0):
         shown = START_MS + 3000 * rate
