--- a/src/cardamomgrade/platform/__init__.py
+++ b/src/cardamomgrade/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: its names, formats and calls. Decides nothing."""
+"""Adapter to the users' platform: its names, formats and calls; makes no decisions."""
--- a/src/cardamomgrade/platform/adapter.py
+++ b/src/cardamomgrade/platform/adapter.py
@@ -1,4 +1,4 @@
-"""The platform as a node uses it: makes the clients and decodes the records."""
+"""Interface of the platform to a node: creates clients, decodes and encodes records."""
 
 from . import ingress, records
 from .executor import ExecutorClient
@@ -13,7 +13,7 @@
 
 
 class Platform:
-    """Clients of one process for the platform that its settings name."""
+    """Creates the clients for the platform whose addresses the settings give."""
 
     ready_path = ingress.READY_PATH
     decode_call = staticmethod(ingress.decode_call)
@@ -35,27 +35,27 @@
         return TopicClient(self._loop, self._net, self._cfg.store, name)
 
     def jobs_topic(self):
-        """Return a client of the jobs' topic."""
+        """Return a client of the topic with the jobs and their progress."""
         return self._topic(TOPIC_JOBS)
 
     def operator_topic(self):
-        """Return a client of the operators' topic."""
+        """Return a client of the topic to which operators write."""
         return self._topic(TOPIC_OPERATOR)
 
     def executors_topic(self):
-        """Return a client of the topic in which executors register."""
+        """Return a client of the topic to which executors write their registrations."""
         return self._topic(TOPIC_EXECUTORS)
 
     def status_topic(self):
-        """Return a client of the topic that operators read."""
+        """Return a client of the topic with the states of waves, for operators."""
         return self._topic(TOPIC_STATUS)
 
     def executor(self, entry, epoch):
-        """Return a client of one life of an executor."""
+        """Return a client of one instance of an executor."""
         return ExecutorClient(self._loop, self._net, entry, epoch)
 
     def machines(self, epoch):
-        """Return a client of the VMs' interface under a scheduler's epoch."""
+        """Return a client of the platform's VM interface under a scheduler's epoch."""
         return MachinesClient(
             self._loop, self._net, self._cfg.machines, self._cfg.node, epoch
         )
--- a/src/cardamomgrade/platform/boot.py
+++ b/src/cardamomgrade/platform/boot.py
@@ -1,4 +1,4 @@
-"""The platform's settings file (YAML) as NodeSettings."""
+"""Reads the platform's settings file (YAML) into NodeSettings."""
 
 import os
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 @attrs.frozen
 class _Field:
-    """Where a value stands in the file, its type and what is allowed."""
+    """Path of a value in the file, its Python type and the allowed values as a text."""
 
     path: tuple
     kind: type | tuple
@@ -36,7 +36,7 @@
     "link_mbps": _Field(("limits", "linkMbps"), _NUMBER, COUNT),
 }
 BOUNDS = {
-    # field: (name of the platform, factor to our unit)
+    # setting: (key in the file, factor to ms)
     "max_lease_ms": ("maxHoldMs", 1),
     "machine_lease_ms": ("leaseMs", 1),
     "stop_ms": ("stopTimeoutMs", 1),
@@ -47,14 +47,14 @@
 
 
 def settings_path():
-    """Return the path of the settings file; raise SettingsError when none is named."""
+    """Return the path in PATH_VARIABLE; raise SettingsError when it is not set."""
     path = os.environ.get(PATH_VARIABLE)
     if not path:
-        raise SettingsError(f"{PATH_VARIABLE} is not set")
+        raise SettingsError(f"environment variable {PATH_VARIABLE} is not set")
     return path
 
 
-def _dig(path, tree, field):
+def _lookup(path, tree, field):
     value = tree
     for key in field.path:
         if not isinstance(value, dict) or key not in value:
@@ -72,24 +72,27 @@
 def parse_settings(path, text):
     """Return the NodeSettings in the text of a settings file.
 
-    Unknown fields are ignored. Raises SettingsError naming the field that is missing
-    or of the wrong type, its value and what is allowed.
+    Unknown fields are ignored. Raises SettingsError for a field that is missing or of
+    the wrong type, with its path, value and what is allowed.
     """
     try:
         tree = yaml.load(text, Loader=getattr(yaml, "CSafeLoader", yaml.SafeLoader))
     except yaml.YAMLError as exc:
         raise SettingsError(f"{path}: {exc}") from exc
     if not isinstance(tree, dict):
-        raise SettingsError(f"{path}: no table of settings")
-    values = {name: _dig(path, tree, field) for name, field in FIELDS.items()}
+        raise SettingsError(f"{path}: the top level is not a mapping")
+    values = {name: _lookup(path, tree, field) for name, field in FIELDS.items()}
     for name, (key, factor) in BOUNDS.items():
         field = _Field(("bounds", key), _NUMBER, COUNT)
-        values[name] = int(_dig(path, tree, field) * factor)
+        values[name] = int(_lookup(path, tree, field) * factor)
     return NodeSettings(**values)
 
 
 def load_settings(path=""):
-    """Return the NodeSettings of a file, or of this process; raise SettingsError."""
+    """Return the NodeSettings of a file, by default that of PATH_VARIABLE.
+
+    Raises SettingsError when the file cannot be read or is not valid.
+    """
     path = path or settings_path()
     try:
         text = Path(path).read_text()
--- a/src/cardamomgrade/platform/executor.py
+++ b/src/cardamomgrade/platform/executor.py
@@ -1,4 +1,4 @@
-"""Client of one executor: starts, stops, paces, and renews its lease."""
+"""Client of one executor: sends start, stop and pace orders, and renews its lease."""
 
 import json
 
@@ -13,9 +13,9 @@
 )
 from ..wire import HttpRequest
 
-ORDER_TIMEOUT_S = 0.5  # an executor answers within a few ms when it is sound
-ANSWER_SLACK_S = 0.7  # beyond the time that a renewal asked to wait
-ANSWER_LIMIT_BYTES = 4 * 1024 * 1024  # far over 500 ends and all that runs
+ORDER_TIMEOUT_S = 0.5  # a healthy executor answers within a few ms
+ANSWER_SLACK_S = 0.7  # beyond the wait that a renewal requests
+ANSWER_LIMIT_BYTES = 4 * 1024 * 1024  # well above a report of 500 ends and all runs
 MS = 1000
 _CONFLICTS = {
     "fence": OrderResult.FENCED,
@@ -26,7 +26,7 @@
 }
 
 
-def _table(body):
+def _parse_object(body):
     try:
         fields = json.loads(body)
     except ValueError:
@@ -34,36 +34,36 @@
     return fields if isinstance(fields, dict) else {}
 
 
-def _clock(fields):
-    clock = fields.get("clockMs", 0)
-    return clock if isinstance(clock, int) else 0
+def _clock_ms(fields):
+    clock_ms = fields.get("clockMs", 0)
+    return clock_ms if isinstance(clock_ms, int) else 0
 
 
 def _order_answer(res):
     if isinstance(res, Failure):
         return OrderAnswer(OrderResult.NO_ANSWER if res.sent else OrderResult.NOT_DONE)
-    fields = _table(res.body)
-    clock = _clock(fields)
+    fields = _parse_object(res.body)
+    clock_ms = _clock_ms(fields)
     if res.status == 200:
-        return OrderAnswer(OrderResult.TAKEN, clock)
+        return OrderAnswer(OrderResult.TAKEN, clock_ms)
     if res.status == 409:
         reason = fields.get("reason")
-        return OrderAnswer(_CONFLICTS.get(reason, OrderResult.REJECTED), clock)
+        return OrderAnswer(_CONFLICTS.get(reason, OrderResult.REJECTED), clock_ms)
     if res.status == 421:
         return OrderAnswer(OrderResult.WRONG_LIFE)
     if res.status in (429, 503):
-        return OrderAnswer(OrderResult.NOT_DONE, clock)
+        return OrderAnswer(OrderResult.NOT_DONE, clock_ms)
     if res.status == 400:
-        return OrderAnswer(OrderResult.REJECTED, clock)
-    return OrderAnswer(OrderResult.NO_ANSWER, clock)
+        return OrderAnswer(OrderResult.REJECTED, clock_ms)
+    return OrderAnswer(OrderResult.NO_ANSWER, clock_ms)
 
 
-def _running(row):
+def _running_task(row):
     load = row[4] if len(row) > 4 else 0
     return RunningTask(row[0], row[1], row[2], row[3], load)
 
 
-def _ended(row):
+def _ended_task(row):
     return EndedTask(row[0], row[1], row[2], Outcome(row[3]), row[4])
 
 
@@ -71,17 +71,20 @@
     answer = _order_answer(res)
     if answer.result is not OrderResult.TAKEN:
         return answer
-    fields = _table(res.body)
+    fields = _parse_object(res.body)
     try:
-        running = tuple(_running(row) for row in fields["running"])
-        ended = tuple(_ended(row) for row in fields["finished"])
+        running = tuple(_running_task(row) for row in fields["running"])
+        ended = tuple(_ended_task(row) for row in fields["finished"])
     except (ValueError, TypeError, KeyError, IndexError):
         return OrderAnswer(OrderResult.REJECTED, answer.clock_ms)
     return LeaseReport(answer.clock_ms, running, ended)
 
 
 class ExecutorClient:
-    """Calls to one life of an executor under the fence of one scheduler."""
+    """Calls to one instance of an executor, fenced by the epoch of one scheduler.
+
+    The executor refuses calls with an epoch older than the newest it has received.
+    """
 
     def __init__(self, loop, net, entry, epoch):
         self._renewals = Requester(loop, net, entry.address, ANSWER_LIMIT_BYTES)
@@ -94,7 +97,7 @@
         )
 
     def close(self):
-        """Drop the connections; calls under way report nothing."""
+        """Drop the connections; calls in flight make no callback."""
         self._renewals.close()
         self._orders.close()
 
@@ -110,7 +113,7 @@
         self._send(self._orders, path, fields, done, ORDER_TIMEOUT_S)
 
     def start(self, order, deadline_ms, on_done):
-        """Start a run; ``deadline_ms`` on the executor's clock bounds its lease."""
+        """Start a run; ``deadline_ms`` is the lease's end on the executor's clock."""
         fields = {
             "task": order.task,
             "run": order.run,
@@ -124,22 +127,23 @@
         self._order("/api/run-start", fields, on_done)
 
     def stop(self, order, on_done):
-        """Stop a run, also one that has not arrived yet."""
+        """Stop a run, also one whose start has not arrived yet."""
         fields = {"task": order.task, "run": order.run}
         self._order("/api/run-stop", fields, on_done)
 
     def pace(self, order, on_done):
-        """Let a run work at ``order.percent`` from now on."""
+        """Set the pace of a run to ``order.percent`` of full speed."""
         fields = {"task": order.task, "run": order.run, "percent": order.percent}
         self._order("/api/pace", fields, on_done)
 
-    def renew(self, deadline_ms, seen, wait_ms, on_done):
-        """Renew the lease (None: only look); ``on_done(LeaseReport | OrderAnswer)``.
+    def renew(self, deadline_ms, stored_end, wait_ms, on_done):
+        """Renew the lease until ``deadline_ms`` of the executor's clock.
 
-        ``seen`` is the number of the last end taken note of; the answer waits up to
-        ``wait_ms`` for an end.
+        Calls ``on_done(LeaseReport | OrderAnswer)``. Without a deadline (None) the call
+        only gets a report. ``stored_end`` acknowledges ends of runs up to that number;
+        the executor waits up to ``wait_ms`` for another end before it answers.
         """
-        fields = {"ackIndex": seen}
+        fields = {"ackIndex": stored_end}
         if deadline_ms is not None:
             fields["deadlineMs"] = deadline_ms
         if wait_ms:
--- a/src/cardamomgrade/platform/ingress.py
+++ b/src/cardamomgrade/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Callers' requests as calls on jobs, and the answers to them."""
+"""Decodes callers' HTTP requests into JobCalls and encodes the answers."""
 
 import json
 
@@ -11,7 +11,7 @@
 from ..ops import JSON_HEADER
 from ..wire import HttpResponse
 
-TEXT_LIMIT_BYTES = 4000  # of the field that callers give as the job's text
+TEXT_LIMIT_BYTES = 4000  # limit of the field ``spec``, the job's text
 STEPS_LIMIT = 64
 TASKS_LIMIT = 4096
 ID_DIGITS = 16
@@ -62,14 +62,17 @@
 }
 
 
-def split_path(queue, path):
-    """Return what follows a queue's prefix in a path."""
+def path_after_prefix(queue, path):
+    """Return the part of a path after the queue's prefix."""
     return path[len(queue.prefix) :]
 
 
 def decode_call(req, queue):
-    """Return the JobCall of a request to a queue; raise RecordError when it is none."""
-    rest = split_path(queue, req.path)
+    """Return the JobCall of a request to a queue.
+
+    Raises RecordError when the request is not valid; its text goes to the caller.
+    """
+    rest = path_after_prefix(queue, req.path)
     deadline = req.header("x-deadline-ms", "0")
     deadline_ms = int(deadline) if deadline.isdecimal() else 0
     if rest == "" and req.method == "GET":
@@ -80,10 +83,10 @@
     if len(rest) != ID_DIGITS or not _HEX.issuperset(rest):
         raise RecordError("the id is no string of 16 hexadecimal digits")
     call = JobCall(kind, queue.name, rest, deadline_ms)
-    return _with_job(call, req.body) if kind is CallKind.SUBMIT else call
+    return _decode_job(call, req.body) if kind is CallKind.SUBMIT else call
 
 
-def _with_job(call, body):
+def _decode_job(call, body):
     try:
         fields = json.loads(body)
     except ValueError as exc:
@@ -93,7 +96,9 @@
     text = fields.get("spec", "")
     if not isinstance(text, str) or len(text.encode()) > TEXT_LIMIT_BYTES:
         raise RecordError("spec is no text of at most 4000 bytes")
-    steps = tuple(_step(item, number) for number, item in enumerate(fields["steps"]))
+    steps = tuple(
+        _decode_step(item, number) for number, item in enumerate(fields["steps"])
+    )
     if not 0 < len(steps) <= STEPS_LIMIT:
         raise RecordError(f"{len(steps)} steps")
     if sum(step.tasks for step in steps) > TASKS_LIMIT:
@@ -111,7 +116,7 @@
     )
 
 
-def _step(fields, number):
+def _decode_step(fields, number):
     if not isinstance(fields, dict):
         raise RecordError(f"step {number} is no table")
     values = {}
@@ -133,7 +138,7 @@
 
 
 def encode_answer(answer):
-    """Return the HttpResponse for an Answer."""
+    """Return the HttpResponse of an Answer."""
     headers = [JSON_HEADER]
     if answer.retry_after_s:
         headers.append((b"retry-after", str(answer.retry_after_s).encode()))
@@ -149,6 +154,6 @@
 
 
 def bad_request(status, detail):
-    """Return the response to a request that is no valid HTTP."""
+    """Return the HttpResponse to a request that is not valid HTTP."""
     body = json.dumps({"error": detail}).encode()
     return HttpResponse(status, (JSON_HEADER,), body)
--- a/src/cardamomgrade/platform/machines.py
+++ b/src/cardamomgrade/platform/machines.py
@@ -1,4 +1,4 @@
-"""Client of the platform's interface to the VMs of its executors."""
+"""Client of the platform's interface to the VMs that run executors."""
 
 import json
 
@@ -7,7 +7,7 @@
 from ..refusal import Reason, Refusal
 from ..wire import HttpRequest
 
-CALL_TIMEOUT_S = 1.0  # the platform answers in ms; its slow phases last seconds
+CALL_TIMEOUT_S = 1.0  # the platform answers in ms, but has slow phases of seconds
 LIST_LIMIT_BYTES = 8 * 1024 * 1024
 _CONFLICTS = {
     "fence": VmOrderResult.FENCED,
@@ -18,17 +18,17 @@
 
 def _decode_page(body):
     fields = json.loads(body)
-    found = [
+    vms = [
         ListedMachine(
             item["machine"], item["pool"], item["state"], item.get("id") or ""
         )
         for item in fields["machines"]
     ]
-    return found, fields.get("nextToken")
+    return vms, fields.get("nextToken")
 
 
 class MachinesClient:
-    """Lists the VMs and orders upkeeps and moves; one scheduler's term."""
+    """Lists the VMs and orders upkeeps and moves under one scheduler's epoch."""
 
     def __init__(self, loop, net, address, node, epoch):
         self._requester = Requester(loop, net, address, LIST_LIMIT_BYTES)
@@ -41,50 +41,52 @@
         )
 
     def close(self):
-        """Drop the connection; calls under way report nothing."""
+        """Drop the connection; calls in flight make no callback."""
         self._requester.close()
 
     def list_vms(self, on_done):
         """Call ``on_done`` with a tuple of ListedMachine, or a Refusal."""
-        self._page("", [], on_done)
+        self._fetch_page("", [], on_done)
 
-    def _page(self, token, found, on_done):
+    def _fetch_page(self, token, vms, on_done):
         def done(res):
             if isinstance(res, Failure) or res.status != 200:
                 detail = res.detail if isinstance(res, Failure) else res.status
                 on_done(Refusal(Reason.UNAVAILABLE, f"VM list: {detail}"))
                 return
             try:
-                page, following = _decode_page(res.body)
+                page, next_token = _decode_page(res.body)
             except (ValueError, TypeError, KeyError) as exc:
                 on_done(Refusal(Reason.BAD_VALUE, f"VM list: {exc!r}"))
                 return
-            found.extend(page)
-            if following:
-                self._page(str(following), found, on_done)
+            vms.extend(page)
+            if next_token:
+                self._fetch_page(str(next_token), vms, on_done)
             else:
-                on_done(tuple(found))
+                on_done(tuple(vms))
 
         target = "/api/machines" + (f"?pageToken={token}" if token else "")
         req = HttpRequest("GET", target, (self._host,))
         self._requester.request(req, done, CALL_TIMEOUT_S)
 
     def upkeep(self, vm, wave, on_done):
-        """Order the upkeep of a VM; ``on_done(VmOrderResult)``."""
+        """Order the upkeep of a VM; call ``on_done(VmOrderResult)``."""
         fields = {"machine": vm, "wave": wave}
         self._order("/api/machine-upkeep", fields, on_done)
 
     def move(self, vm, pool, on_done):
-        """Order that a VM joins another pool; ``on_done(VmOrderResult)``."""
+        """Order that a VM joins another pool; call ``on_done(VmOrderResult)``."""
         self._order("/api/machine-move", {"machine": vm, "pool": pool}, on_done)
 
     def _order(self, path, fields, on_done):
         body = json.dumps(fields).encode()
         req = HttpRequest("POST", path, self._headers, body)
-        self._requester.request(req, lambda res: on_done(_result(res)), CALL_TIMEOUT_S)
+        self._requester.request(
+            req, lambda res: on_done(_order_result(res)), CALL_TIMEOUT_S
+        )
 
 
-def _result(res):
+def _order_result(res):
     if isinstance(res, Failure):
         return VmOrderResult.NO_ANSWER if res.sent else VmOrderResult.NOT_DONE
     if res.status == 200:
--- a/src/cardamomgrade/platform/records.py
+++ b/src/cardamomgrade/platform/records.py
@@ -1,4 +1,4 @@
-"""What operators and executors write into the store, decoded into our types."""
+"""Decodes the records of operators and executors, and encodes states of waves."""
 
 import json
 
@@ -8,18 +8,18 @@
 
 KEY_CONFIG = "config"
 PREFIX_WAVE = "wave/"
-STATES = ("ready", "draining")
+EXECUTOR_STATES = ("ready", "draining")
 STATUS_RUNNING = "running"
 STATUS_COMPLETED = "completed"
 
 
-def _fields(data):
+def _parse_object(data):
     try:
         fields = json.loads(data)
     except ValueError as exc:
         raise RecordError(f"not JSON: {exc}") from exc
     if not isinstance(fields, dict):
-        raise RecordError("no table")
+        raise RecordError("not a JSON object")
     return fields
 
 
@@ -27,13 +27,13 @@
     value = fields.get(name, default)
     wrong_bool = isinstance(value, bool) and kind is not bool
     if not isinstance(value, kind) or wrong_bool:
-        raise RecordError(f"{name} = {value!r}")
+        raise RecordError(f"{name} = {value!r}: missing or of the wrong type")
     return value
 
 
 def decode_config(data):
-    """Return the QueueConfig of ``op/config``; raise RecordError."""
-    fields = _fields(data)
+    """Return the QueueConfig in a ``config`` record; raise RecordError."""
+    fields = _parse_object(data)
     limits = _get(fields, "limits", dict, {})
     return QueueConfig(
         _get(fields, "version", int),
@@ -76,15 +76,15 @@
 
 
 def decode_executor(executor, data):
-    """Return the ExecutorEntry of ``servers/EXECUTOR``; raise RecordError."""
-    fields = _fields(data)
+    """Return the ExecutorEntry in an executor's registration; raise RecordError."""
+    fields = _parse_object(data)
     state = _get(fields, "state", str)
-    if state not in STATES:
-        raise RecordError(f"state = {state!r}")
+    if state not in EXECUTOR_STATES:
+        raise RecordError(f"state = {state!r}; allowed: ready, draining")
     capacity = _get(fields, "capacity", dict)
     labels = _get(fields, "labels", list, [])
     if not all(isinstance(label, str) for label in labels):
-        raise RecordError(f"labels = {labels!r}")
+        raise RecordError(f"labels = {labels!r}; allowed: strings")
     return ExecutorEntry(
         executor=executor,
         service=_get(fields, "service", str),
@@ -102,11 +102,11 @@
 
 
 def decode_wave(data):
-    """Return the WaveRequest of ``op/wave/N``; raise RecordError."""
-    fields = _fields(data)
+    """Return the WaveRequest in a ``wave/N`` record; raise RecordError."""
+    fields = _parse_object(data)
     vms = _get(fields, "machines", list)
     if not all(isinstance(vm, str) for vm in vms):
-        raise RecordError(f"machines = {vms!r}")
+        raise RecordError(f"machines = {vms!r}; allowed: strings")
     return WaveRequest(
         _get(fields, "wave", int),
         tuple(vms),
@@ -116,6 +116,6 @@
 
 
 def encode_wave_status(wave, completed):
-    """Return the (key, value) that tells operators how a wave stands."""
+    """Return the (key, value) of the record of a wave's state, for operators."""
     state = STATUS_COMPLETED if completed else STATUS_RUNNING
     return PREFIX_WAVE + str(wave), json.dumps({"state": state}).encode()
--- a/src/cardamomgrade/platform/store.py
+++ b/src/cardamomgrade/platform/store.py
@@ -24,10 +24,10 @@
 TOPIC_EXECUTORS = "keyed.servers"
 TOPIC_STATUS = "keyed.status"
 PARTITION = 0
-READ_LIMIT_BYTES = 16 * 1024 * 1024  # far over a page or a read of the store
-READ_KB = 1024  # the store's own default for one read
-_LENGTH = struct.Struct(">I")
-_ENDS = struct.Struct(">QQ")
+ANSWER_LIMIT_BYTES = 16 * 1024 * 1024  # well above the size of a page or a read
+READ_LIMIT_KB = 1024  # the store's default for one read
+_RECORD_LENGTH = struct.Struct(">I")
+_READ_HEADER = struct.Struct(">QQ")
 
 
 def encode_items(items):
@@ -35,7 +35,7 @@
     parts = []
     for key, value in items:
         name = key.encode()
-        parts.append(_LENGTH.pack(1 + len(name) + len(value)))
+        parts.append(_RECORD_LENGTH.pack(1 + len(name) + len(value)))
         parts.append(bytes((len(name),)) + name + value)
     return b"".join(parts)
 
@@ -43,21 +43,21 @@
 def decode_read(body, start):
     """Return the Records in the body of a read from offset ``start``.
 
-    Raises FeedError when the body is cut short.
+    Raises FeedError when the body is truncated.
     """
-    if len(body) < _ENDS.size:
-        raise FeedError("read: no offsets")
-    end, _ = _ENDS.unpack_from(body)
-    entries, place, offset = [], _ENDS.size, start
-    while place < len(body):
-        if place + _LENGTH.size > len(body):
-            raise FeedError("read: cut short")
-        (size,) = _LENGTH.unpack_from(body, place)
-        place += _LENGTH.size
-        record = body[place : place + size]
+    if len(body) < _READ_HEADER.size:
+        raise FeedError("read: truncated before the offsets")
+    end, _ = _READ_HEADER.unpack_from(body)
+    entries, pos, offset = [], _READ_HEADER.size, start
+    while pos < len(body):
+        if pos + _RECORD_LENGTH.size > len(body):
+            raise FeedError("read: truncated record")
+        (size,) = _RECORD_LENGTH.unpack_from(body, pos)
+        pos += _RECORD_LENGTH.size
+        record = body[pos : pos + size]
         if len(record) != size:
-            raise FeedError("read: cut short")
-        place += size
+            raise FeedError("read: truncated record")
+        pos += size
         entries.append(_decode_entry(offset, record))
         offset += 1
     return Records(end, offset, tuple(entries))
@@ -81,7 +81,7 @@
         raise FeedError(f"newest: {exc!r}") from exc
 
 
-def _number(body, name):
+def _int_field(body, name):
     try:
         value = json.loads(body)[name]
     except (ValueError, TypeError, KeyError):
@@ -90,16 +90,16 @@
 
 
 class TopicClient:
-    """Calls of one process for one topic; reads and appends have own connections."""
+    """Calls for one topic; reads and appends have separate connections."""
 
     def __init__(self, loop, net, address, topic):
-        self._reads = Requester(loop, net, address, READ_LIMIT_BYTES)
+        self._reads = Requester(loop, net, address, ANSWER_LIMIT_BYTES)
         self._appends = Requester(loop, net, address)
         self._host = ((b"host", address.encode()),)
         self._topic = topic
 
     def close(self):
-        """Drop the connections; calls under way report nothing."""
+        """Drop the connections; calls in flight make no callback."""
         self._reads.close()
         self._appends.close()
 
@@ -108,9 +108,10 @@
         return f"/api/{call}?topic={self._topic}&part={PARTITION}&{query}".rstrip("&")
 
     def append(self, items, on_done, timeout, at=None, writer=None):
-        """Append (key, value) pairs; ``on_done(Appended | AppendFailed)``.
+        """Append (key, value) pairs; call ``on_done(Appended | AppendFailed)``.
 
-        ``at`` is the offset at which the topic has to end; ``writer`` a WriterMark.
+        ``timeout`` is in seconds. The append fails unless the topic ends at the offset
+        ``at``, if given; ``writer`` is a WriterMark, or None to append unnumbered.
         """
         options = {}
         if writer is not None:
@@ -127,12 +128,12 @@
         self._appends.request(req, lambda res: on_done(_append_result(res)), timeout)
 
     def cancel_append(self):
-        """Drop the append in flight, of which nothing more will be heard."""
+        """Drop the append in flight; it makes no callback."""
         self._appends.cancel()
 
     def read(self, start, wait_ms, on_done, timeout):
-        """Read from an offset; ``on_done(Records | Trimmed | ReadFailed)``."""
-        options = {"from": start, "maxKb": READ_KB}
+        """Read from an offset; call ``on_done(Records | Trimmed | ReadFailed)``."""
+        options = {"from": start, "maxKb": READ_LIMIT_KB}
         if wait_ms:
             options["waitMs"] = wait_ms
         target = self._target("log-read", **options)
@@ -143,7 +144,10 @@
         self._reads.request(HttpRequest("GET", target, self._host), done, timeout)
 
     def newest(self, after, on_done, timeout):
-        """Read a page of the newest records; ``on_done(Page | ReadFailed)``."""
+        """Read the newest record of each key after the key ``after``, one page.
+
+        Calls ``on_done(Page | ReadFailed)``.
+        """
         options = {"after": after} if after else {}
         target = self._target("log-newest", **options)
 
@@ -158,9 +162,9 @@
         fate = AppendFate.UNKNOWN if res.sent else AppendFate.NOT_DONE
         return AppendFailed(fate, res.detail)
     if res.status == 200:
-        return Appended(_number(res.body, "offset") or 0)
+        return Appended(_int_field(res.body, "offset") or 0)
     if res.status == 412:
-        return AppendFailed(AppendFate.MOVED_ON, "the topic ends elsewhere")
+        return AppendFailed(AppendFate.MOVED_ON, "the topic has another end")
     if res.status == 409:
         fenced = b"fenced" in res.body
         fate = AppendFate.FENCED if fenced else AppendFate.OUT_OF_SEQUENCE
@@ -174,7 +178,7 @@
     if isinstance(res, Failure):
         return ReadFailed(res.detail)
     if res.status == 410:
-        return Trimmed(_number(res.body, "first") or 0)
+        return Trimmed(_int_field(res.body, "first") or 0)
     if res.status != 200:
         return ReadFailed(f"store answered {res.status}")
     try:
--- a/tests/platform/adapter.feature
+++ b/tests/platform/adapter.feature
@@ -1,14 +1,14 @@
-Feature: the adapter translates, and refuses what it cannot read
+Feature: the platform adapter decodes valid data and rejects invalid data
 
-  Scenario: the settings file gives a node's settings
+  Scenario: a settings file is read into a node's settings
     Given a settings file of the platform
-    Then its node, addresses and bounds are read
-    And fields that are not known are ignored
+    Then its node, addresses, limits and bounds are read
+    And unknown fields are ignored
 
-  Scenario Outline: a settings file that is not whole is refused by name
+  Scenario Outline: a missing or invalid setting is rejected by name
     Given a settings file of the platform
     When the setting <field> is <value>
-    Then it is refused naming "<field>" and what is allowed
+    Then it is rejected with an error that names "<field>" and what is allowed
 
     Examples:
       | field                | value   |
@@ -19,12 +19,12 @@
       | bounds.maxHoldMs     | soon    |
       | bounds.graceS        | true    |
 
-  Scenario: records of the store are framed as they are read
-    Then an append of two records and a read of them agree with bytes written by hand
-    And a read that is cut short is refused
+  Scenario: appends and reads use the store's record format
+    Then an append and a read of two records match the expected bytes
+    And a truncated read is rejected
 
-  Scenario Outline: what became of an append
-    Then an answer of <status> with <body> means <fate>
+  Scenario Outline: the result of a failed append
+    Then an append answered <status> with <body> failed as <fate>
 
     Examples:
       | status | body                  | fate            |
@@ -38,7 +38,7 @@
       | 0      | sent                  | UNKNOWN         |
       | 0      | unsent                | NOT_DONE        |
 
-  Scenario Outline: what became of an order to an executor
+  Scenario Outline: the result of an order to an executor
     Then an order answered <status> with <body> was <result>
 
     Examples:
@@ -58,15 +58,15 @@
       | 0      | sent                            | NO_ANSWER  |
       | 0      | unsent                          | NOT_DONE   |
 
-  Scenario: an executor's report becomes runs and ends
-    Then a report with two runs and an end is decoded
-    And a report with an unknown way to end is rejected
+  Scenario: an executor's report is decoded into runs and ends
+    Then a report of two runs and one end is decoded
+    And a report with an unknown outcome is rejected
 
-  Scenario: a step's fields become a step with our names
+  Scenario: all fields of a submitted step are decoded
     Then a step with every field set is decoded
 
-  Scenario Outline: operators' records that cannot be read are refused
-    Then the <kind> record <value> is refused
+  Scenario Outline: operators' records that are not valid are rejected
+    Then the <kind> record <value> is rejected
 
     Examples:
       | kind   | value                                        |
--- a/tests/steps/platform_adapter.py
+++ b/tests/steps/platform_adapter.py
@@ -1,4 +1,4 @@
-"""Steps for the adapter to the platform; bytes and texts are written by hand."""
+"""Steps for the platform adapter; the expected bytes and texts are literals."""
 
 import attrs
 import yaml
@@ -44,7 +44,7 @@
     return boot.parse_settings("boot.yaml", yaml.safe_dump(context.tree))
 
 
-@then("its node, addresses and bounds are read")
+@then("its node, addresses, limits and bounds are read")
 def step_read(context):
     cfg = parse(context)
     assert (cfg.node, cfg.zone) == ("front-a-1", "a")
@@ -55,7 +55,7 @@
     assert (cfg.machine_lease_ms, cfg.max_lease_ms) == (3000, 10_000)
 
 
-@then("fields that are not known are ignored")
+@then("unknown fields are ignored")
 def step_ignored(context):
     assert "somethingNew" in context.tree and parse(context)
 
@@ -72,8 +72,8 @@
         table[last] = yaml.safe_load(value)
 
 
-@then('it is refused naming "{field}" and what is allowed')
-def step_settings_refused(context, field):
+@then('it is rejected with an error that names "{field}" and what is allowed')
+def step_settings_rejected(context, field):
     try:
         parse(context)
     except SettingsError as exc:
@@ -85,7 +85,7 @@
 FRAMES = b"\x00\x00\x00\x04\x01ahi\x00\x00\x00\x03\x02bc"
 
 
-@then("an append of two records and a read of them agree with bytes written by hand")
+@then("an append and a read of two records match the expected bytes")
 def step_frames(context):
     assert store.encode_items([("a", b"hi"), ("bc", b"")]) == FRAMES
     body = (9).to_bytes(8, "big") + (2).to_bytes(8, "big") + FRAMES
@@ -94,8 +94,8 @@
     assert found.entries == (Entry(7, "a", b"hi"), Entry(8, "bc", b""))
 
 
-@then("a read that is cut short is refused")
-def step_cut(context):
+@then("a truncated read is rejected")
+def step_truncated(context):
     body = bytes(16) + FRAMES
     for size in (3, 18, 21, len(body) - 1):
         try:
@@ -111,7 +111,7 @@
     return HttpResponse(status, (), body.encode())
 
 
-@then("an answer of {status:d} with {body} means {fate}")
+@then("an append answered {status:d} with {body} failed as {fate}")
 def step_fate(context, status, body, fate):
     found = store._append_result(result(status, body))
     assert found.fate is AppendFate[fate], found
@@ -124,7 +124,7 @@
 
 
 # an empty cell of an outline leaves no text between the words around it
-@then("an answer of {status:d} with  means {fate}")
+@then("an append answered {status:d} with  failed as {fate}")
 def step_fate_empty(context, status, fate):
     step_fate(context, status, "", fate)
 
@@ -134,7 +134,7 @@
     step_order(context, status, "", name)
 
 
-@then("a report with two runs and an end is decoded")
+@then("a report of two runs and one end is decoded")
 def step_report(context):
     body = (
         '{"clockMs":7,"running":[["j.0.0.1",2,"cp",41],["j.0.0.2",1,"",100,33]],'
@@ -148,7 +148,7 @@
     assert report.ended[0].number == 58 and report.ended[0].outcome is Outcome.DONE
 
 
-@then("a report with an unknown way to end is rejected")
+@then("a report with an unknown outcome is rejected")
 def step_bad_report(context):
     body = '{"clockMs":7,"running":[],"finished":[[58,"j.0.0.9",1,"odd",""]]}'
     found = executor._lease_report(result(200, body))
@@ -174,8 +174,8 @@
     assert call.steps[0] == Step(3)
 
 
-@then("the {kind} record {value} is refused")
-def step_refused_record(context, kind, value):
+@then("the {kind} record {value} is rejected")
+def step_record_rejected(context, kind, value):
     decode = {"config": records.decode_config, "wave": records.decode_wave}[kind]
     try:
         decode(value.encode())
