--- a/src/cardamomgrade/batch.py
+++ b/src/cardamomgrade/batch.py
@@ -1,8 +1,8 @@
-"""Batches: the steps of a wave, from notice over drain and reboot to join.
+"""Folds the records of batches: notice, drain, reboot and join of a wave's VMs.
 
-Each function takes the FleetState and a record, and returns the state that follows
-or a Refusal. The states and triggers of VMs and batches are those of the charts
-``vm`` and ``batch``.
+Each public function that folds a record takes the FleetState, the record and its
+offset, and returns the next state or a Refusal. The state charts ``vm`` and ``batch``
+define the states and triggers of VMs and batches.
 """
 
 import attrs
@@ -21,10 +21,11 @@
 
 @attrs.frozen
 class Batch:
-    """An open batch, named by the offset of its BatchOpened.
+    """An open batch, identified by the offset of its BatchOpened.
 
-    ``source`` is the pool that its VMs leave and ``pool`` the one that they join, or
-    empty when they return. ``acked``, ``confirmed`` and ``joined`` are sets of names.
+    ``source`` is the pool of its VMs, ``pool`` the pool to which they move, or empty
+    if they stay. ``acked`` and ``confirmed`` are names of entries, ``joined`` names
+    of VMs.
     """
 
     offset: int
@@ -43,19 +44,19 @@
 
     @property
     def draining(self):
-        """Whether its drain has started."""
+        """Whether the drain of its VMs has started."""
         return self.phase == "draining"
 
 
 def open_batch(state, record, offset):
     """Fold BatchOpened."""
-    bad = _check_opening(state, record, offset)
-    if bad is not None:
-        return bad
+    refusal = _check_opening(state, record, offset)
+    if refusal is not None:
+        return refusal
     source = state.vms[record.vms[0]].pool
-    bad = _check_pool_free(state, source, record.pool)
-    if bad is not None:
-        return bad
+    refusal = _check_pool_free(state, source, record.pool)
+    if refusal is not None:
+        return refusal
     budget = _check_budget(state, source, record.vms)
     if isinstance(budget, Refusal):
         return budget
@@ -68,7 +69,7 @@
         record.pool,
         state.time_ms,
     )
-    vms = _step_vms(state, batch.vms, "batch_opened", batch=offset)
+    vms = _advance_vms(state, batch.vms, "batch_opened", batch=offset)
     if isinstance(vms, Refusal):
         return vms
     return attrs.evolve(state, batches={**state.batches, offset: batch}, vms=vms)
@@ -83,27 +84,33 @@
     if state.bundle is None:
         return Refusal(Reason.UNKNOWN, "no bundle is in force")
     if not state.bundle_offset <= record.builds_on < offset:
-        return Refusal(Reason.OUTDATED, "planned under another bundle")
+        return Refusal(
+            Reason.OUTDATED,
+            f"builds_on is {record.builds_on}; "
+            f"allowed: {state.bundle_offset} to {offset - 1}",
+        )
     if not record.vms or len(set(record.vms)) != len(record.vms):
-        return Refusal(Reason.BAD_VALUE, "no VM, or a VM twice")
+        return Refusal(Reason.BAD_VALUE, "vms is empty or names a VM twice")
     for name in record.vms:
         if name not in state.vms:
             return Refusal(Reason.UNKNOWN, f"no VM {name}")
     source = state.vms[record.vms[0]].pool
-    bad = _check_wave(state, record, source)
-    return _check_vms(state, record, source) if bad is None else bad
+    refusal = _check_wave(state, record, source)
+    return _check_vms(state, record, source) if refusal is None else refusal
 
 
 def _check_wave(state, record, source):
     if record.wave == MOVES_WAVE:
         if not record.pool:
-            return Refusal(Reason.BAD_VALUE, "neither a wave nor a move")
+            return Refusal(
+                Reason.BAD_VALUE, "a batch without a wave needs a target pool"
+            )
         return None
     wave = state.bundle.waves.get(record.wave)
     if wave is None or wave.round != record.round:
         return Refusal(Reason.OUTDATED, f"no wave {record.wave} round {record.round}")
     if source not in wave.pools:
-        return Refusal(Reason.BAD_VALUE, f"pool {source} is not in {record.wave}")
+        return Refusal(Reason.BAD_VALUE, f"pool {source} is not in wave {record.wave}")
     return None
 
 
@@ -118,9 +125,14 @@
         if assigned != (record.pool or source):
             return Refusal(Reason.OUTDATED, f"{name} is assigned to {assigned}")
         if not record.pool and vm.round_done(record.wave) >= record.round:
-            return Refusal(Reason.ALREADY_DONE, f"{name} was rebooted in this round")
+            return Refusal(
+                Reason.ALREADY_DONE,
+                f"{name} was already rebooted in round {record.round}",
+            )
     if record.pool == source:
-        return Refusal(Reason.BAD_VALUE, f"already in {source}")
+        return Refusal(
+            Reason.BAD_VALUE, f"target pool {source} is also the source pool"
+        )
     return None
 
 
@@ -131,13 +143,13 @@
         if taken:
             return Refusal(
                 Reason.BATCH_OPEN,
-                f"pool {min(taken)} is in the batch at offset {batch.offset}",
+                f"pool {min(taken)} is in the open batch at offset {batch.offset}",
             )
     return None
 
 
-def _step_vms(state, names, trigger, **changes):
-    """Return the Inventory after a trigger on the named VMs, or a Refusal."""
+def _advance_vms(state, names, trigger, **changes):
+    """Return the Inventory after a trigger for the named VMs, or a Refusal."""
     changed = []
     for name in names:
         vm = state.vms[name]
@@ -148,8 +160,8 @@
     return state.vms.replace(changed)
 
 
-def _find(state, record, trigger):
-    """Return the Batch of a record after ``trigger``, or a Refusal."""
+def _advance_batch(state, record, trigger):
+    """Return the Batch that a record names after ``trigger``, or a Refusal."""
     batch = state.batches.get(record.batch)
     if batch is None:
         return Refusal(Reason.UNKNOWN, f"no open batch at offset {record.batch}")
@@ -160,29 +172,31 @@
 
 
 @attrs.frozen
-class _Step:
-    """A batch and one of its VMs after a trigger on both."""
+class _BatchAndVm:
+    """A batch and one of its VMs after the same trigger."""
 
     batch: Batch
     vm: VmState
 
 
-def _step_vm(state, record, trigger):
-    """Return the _Step of a record on one VM, or a Refusal."""
-    batch = _find(state, record, trigger)
+def _advance_vm(state, record, trigger):
+    """Return the _BatchAndVm of a record on one VM after ``trigger``, or a Refusal."""
+    batch = _advance_batch(state, record, trigger)
     if isinstance(batch, Refusal):
         return batch
     vm = state.vms.get(record.vm)
     if vm is None or vm.batch != batch.offset:
-        return Refusal(Reason.UNKNOWN, f"{record.vm} is not in the batch")
+        return Refusal(
+            Reason.UNKNOWN, f"{record.vm} is not in the batch at offset {batch.offset}"
+        )
     phase = VM_CHART.next(vm.phase, trigger)
     if isinstance(phase, Refusal):
         return phase
-    return _Step(batch, attrs.evolve(vm, phase=phase, since_ms=state.time_ms))
+    return _BatchAndVm(batch, attrs.evolve(vm, phase=phase, since_ms=state.time_ms))
 
 
-def _put(state, batch, **changes):
-    """Return the state with a batch, which is dropped in a final state."""
+def _put_batch(state, batch, **changes):
+    """Return the state with a changed batch; a batch in a final state is removed."""
     batches = {**state.batches, batch.offset: batch}
     if not BATCH_CHART.transitions[batch.phase]:
         del batches[batch.offset]
@@ -190,18 +204,18 @@
 
 
 def ack_batch(state, record, offset):
-    """Fold BatchAcked of a member."""
-    batch = _find(state, record, "batch_acked")
+    """Fold BatchAcked: a member acknowledges the batch."""
+    batch = _advance_batch(state, record, "batch_acked")
     if isinstance(batch, Refusal):
         return batch
     if record.entry in batch.acked:
-        return Refusal(Reason.ALREADY_DONE, f"{record.entry} has acknowledged")
-    return _put(state, attrs.evolve(batch, acked=batch.acked | {record.entry}))
+        return Refusal(Reason.ALREADY_DONE, f"{record.entry} has already acknowledged")
+    return _put_batch(state, attrs.evolve(batch, acked=batch.acked | {record.entry}))
 
 
 def start_drain(state, record, offset):
-    """Fold DrainStarted: needs every member's acknowledgement and the budget."""
-    batch = _find(state, record, "drain_started")
+    """Fold DrainStarted, which needs the budget and all members' acknowledgements."""
+    batch = _advance_batch(state, record, "drain_started")
     if isinstance(batch, Refusal):
         return batch
     missing = missing_acks(state, batch)
@@ -213,10 +227,10 @@
     if isinstance(budget, Refusal):
         return budget
     batch = attrs.evolve(batch, drain_offset=offset, drain_time_ms=state.time_ms)
-    vms = _step_vms(state, batch.vms, "drain_started")
+    vms = _advance_vms(state, batch.vms, "drain_started")
     if isinstance(vms, Refusal):
         return vms
-    return _put(state, batch, vms=vms)
+    return _put_batch(state, batch, vms=vms)
 
 
 def missing_acks(state, batch):
@@ -230,67 +244,79 @@
 
 
 def confirm_drain(state, record, offset):
-    """Fold DrainConfirmed of a member."""
-    batch = _find(state, record, "drain_confirmed")
+    """Fold DrainConfirmed: a member has no more requests on the batch's VMs."""
+    batch = _advance_batch(state, record, "drain_confirmed")
     if isinstance(batch, Refusal):
         return batch
     if record.entry in batch.confirmed:
-        return Refusal(Reason.ALREADY_DONE, f"{record.entry} has confirmed")
-    return _put(state, attrs.evolve(batch, confirmed=batch.confirmed | {record.entry}))
+        return Refusal(Reason.ALREADY_DONE, f"{record.entry} has already confirmed")
+    return _put_batch(
+        state, attrs.evolve(batch, confirmed=batch.confirmed | {record.entry})
+    )
 
 
 def reboot_after_ms(state, batch):
-    """Return the log time from which reboots of a draining batch are valid.
+    """Return the log time in ms from which a draining batch's VMs may be rebooted.
 
-    Until the wait-out has passed it depends on the confirmations so far.
+    Unless all members have confirmed, this is the drain timeout. It allows for an
+    entry that has not read the drain: it may send requests until its lease ends, and
+    these run for at most the longest deadline. With all confirmations the time is
+    ``state.quiet_after_ms`` if that is earlier.
     """
-    waited = batch.drain_time_ms + LEASE_MS + state.deadline_peak_ms + MARGIN_MS
+    timeout_ms = batch.drain_time_ms + LEASE_MS + state.deadline_peak_ms + MARGIN_MS
     if state.members and not missing_confirms(state, batch):
-        return min(waited, state.quiet_after_ms)
-    return waited
+        return min(timeout_ms, state.quiet_after_ms)
+    return timeout_ms
 
 
 def order_reboot(state, record, offset):
-    """Fold RebootOrdered; the offset becomes the fence of the VM."""
-    step = _step_vm(state, record, "reboot_ordered")
-    if isinstance(step, Refusal):
-        return step
-    batch, vm = step.batch, step.vm
+    """Fold RebootOrdered; its offset becomes the fence of the VM."""
+    found = _advance_vm(state, record, "reboot_ordered")
+    if isinstance(found, Refusal):
+        return found
+    batch, vm = found.batch, found.vm
     valid_ms = reboot_after_ms(state, batch)
     if state.time_ms < valid_ms:
         missing = ", ".join(missing_confirms(state, batch)) or "former members"
         return Refusal(
-            Reason.NOT_CONFIRMED, f"{missing}; wait {valid_ms - state.time_ms} ms"
+            Reason.NOT_CONFIRMED,
+            f"{missing} may hold requests for {valid_ms - state.time_ms} ms more",
         )
     vm = attrs.evolve(vm, fence=offset)
     return attrs.evolve(state, vms=state.vms.replace([vm]))
 
 
 def join_vm(state, record, offset):
-    """Fold VmJoined: the VM serves in its pool; the last one closes the batch."""
-    step = _step_vm(state, record, "vm_joined")
-    if isinstance(step, Refusal):
-        return step
-    batch, vm = step.batch, step.vm
+    """Fold VmJoined: the VM serves in its pool again or in the target pool.
+
+    The last VM to join closes the batch.
+    """
+    found = _advance_vm(state, record, "vm_joined")
+    if isinstance(found, Refusal):
+        return found
+    batch, vm = found.batch, found.vm
     if record.fence != vm.fence:
-        return Refusal(Reason.OUTDATED, f"the last order is at offset {vm.fence}")
+        return Refusal(
+            Reason.OUTDATED,
+            f"fence is {record.fence}; the last reboot order has {vm.fence}",
+        )
     vm = attrs.evolve(
         vm,
         pool=batch.pool or vm.pool,
         batch=None,
         failed=False,
-        rounds=_rounds(state, vm, batch),
+        rounds=_rounds_done(state, vm, batch),
     )
     joined = batch.joined | {vm.name}
     phase = batch.phase
     if len(joined) == len(batch.vms):
         phase = BATCH_CHART.next(phase, "last_vm_joined")
     batch = attrs.evolve(batch, joined=joined, phase=phase)
-    return _put(state, batch, vms=state.vms.replace([vm]))
+    return _put_batch(state, batch, vms=state.vms.replace([vm]))
 
 
-def _rounds(state, vm, batch):
-    """Return the rounds done by a VM, without waves that the bundle has dropped."""
+def _rounds_done(state, vm, batch):
+    """Return the RoundDone of a VM after a batch, for waves still in the bundle."""
     kept = [
         item
         for item in vm.rounds
@@ -302,11 +328,11 @@
 
 
 def abort_batch(state, record, offset):
-    """Fold BatchAborted: the VMs of a batch that has not drained serve on."""
-    batch = _find(state, record, "batch_aborted")
+    """Fold BatchAborted: the VMs of a batch without a drain go on serving."""
+    batch = _advance_batch(state, record, "batch_aborted")
     if isinstance(batch, Refusal):
         return batch
-    vms = _step_vms(state, batch.vms, "batch_aborted", batch=None)
+    vms = _advance_vms(state, batch.vms, "batch_aborted", batch=None)
     if isinstance(vms, Refusal):
         return vms
-    return _put(state, batch, vms=vms)
+    return _put_batch(state, batch, vms=vms)
--- a/src/cardamomgrade/control.py
+++ b/src/cardamomgrade/control.py
@@ -1,7 +1,9 @@
-"""Program ``cardamom-control``: folds the log, plans waves and drives pools.
+"""Program ``cardamom-control``: folds the log, plans waves and orders reboots.
 
-All controls are alike. Each folds the same records and plans the same intents; a rank
-by rendezvous hash delays all but one, and the fold refuses what comes twice.
+All controls have the same role. Each folds the same records and plans the same
+intents, which are records to append to the log. A rendezvous hash ranks the controls
+for each intent; the first appends it at once, the others only after a delay. The fold
+refuses a record that was appended twice.
 """
 
 import sys
@@ -33,13 +35,13 @@
 from .estate import Estate
 from .explain import control_status, explain_vm, History
 from .follower import Follower
-from .intent import IntentBook, rank, shard_of
+from .intent import IntentSchedule, rank, shard_of
 from .journal import note, start_journal
 from .loop import Loop
 from .metrics import Metrics
 from .net import Net
 from .ops import OpsServer
-from .reboots import Reboots
+from .reboots import RebootCaller
 from .records import BundleRolled, RebootOrdered
 from .refusal import Reason, Refusal
 from .replica import Restored
@@ -57,20 +59,20 @@
 from .wave import Planner
 
 PROGRAM = "cardamom-control"
-LIST_MIN_S = 1.0
-LIST_MAX_S = 60.0
+LIST_INTERVAL_MIN_S = 1.0
+LIST_INTERVAL_MAX_S = 60.0
 LIST_BYTES_PER_S = 1024
-CLOSE_LIST_BYTES_PER_S = 3072
-CLOSE_RANK = 1
+MONITOR_LIST_BYTES_PER_S = 3072
+MONITOR_RANK_MAX = 1
 PLAN_INTERVAL_S = 1.0
 MS_PER_S = 1000
 EXIT_BAD_SETTINGS = 2
-SHARD_SNAPSHOT = "snapshot"
+SNAPSHOT_SHARD = "snapshot"
 
 
 @attrs.frozen
 class ControlSettings:
-    """Settings of one control."""
+    """Settings of one control process."""
 
     name: str = option("node", plain_name, "the name of the entry of this VM")
     zone: str = option("node", plain_name, "a name")
@@ -85,7 +87,7 @@
 
 
 class Control:
-    """One control process on its loop."""
+    """A control that runs on an event loop."""
 
     def __init__(self, cfg, loop, net):
         self.cfg = cfg
@@ -103,15 +105,15 @@
         self._estate = Estate(loop, net, cfg.vms)
         self._watch = Watch(cfg.name)
         self._history = History()
-        self._reboots = Reboots(cfg.name, self._estate, loop.now)
+        self._reboots = RebootCaller(cfg.name, self._estate, loop.now)
         self._planner = Planner()
-        self._intents = IntentBook()
+        self._intents = IntentSchedule()
         self._retention = Retention(cfg.snapshot_s)
         self._tick_count = 0
-        self._planned = ()
+        self._planned_records = ()
         self._planned_state = self._planned_list = None
-        self._planned_s = 0.0
-        self._explained = {}
+        self._planned_at_s = 0.0
+        self._explanations = {}
         self._caught_up = False
         self._log_reachable = True
         self._poll_timer = None
@@ -125,14 +127,17 @@
         self.ops = OpsServer(loop, cfg.listen, cfg.key, views, net)
 
     def start(self):
-        """Begin to read the log, to poll the platform and to plan."""
+        """Start reading the log, polling the platform and planning."""
         note(ControlStarted(self.cfg.zone, self.cfg.log, self.cfg.vms))
         self._follower.start()
         self._poll()
         self._loop.call_every(self.cfg.tick_ms / MS_PER_S, self._tick)
 
     def stop(self):
-        """Leave; appends under way are settled by whoever reads them."""
+        """Stop without waiting for appends in progress.
+
+        Other processes see their outcome when they read the log.
+        """
         note(ControlStopped(self._follower.state.offset))
         self._loop.finish()
 
@@ -148,50 +153,54 @@
                 continue
             self._history.add(item)
             if item.refusal is not None:
-                self._refused(item)
+                self._on_refused(item)
             else:
-                self._applied(item)
+                self._on_applied(item)
 
-    def _refused(self, step):
+    def _on_refused(self, step):
         self._metrics.count("records_refused")
         if self._caught_up:
             record = step.logged.record
-            kind, subject = type(record).__name__, subject_of(record)
-            note(RecordRefused(step.logged.offset, kind, subject, str(step.refusal)))
-
-    def _applied(self, step):
+            record_type, subject = type(record).__name__, subject_of(record)
+            note(
+                RecordRefused(
+                    step.logged.offset, record_type, subject, str(step.refusal)
+                )
+            )
+
+    def _on_applied(self, step):
         self._metrics.count("records_applied")
         offset, record = step.logged.offset, step.logged.record
         if isinstance(record, RebootOrdered):
-            self._reboots.ordered(record, offset)
-            self._hasten_poll()
+            self._reboots.add_order(record, offset)
+            self._reschedule_poll()
         if isinstance(record, BundleRolled):
-            self._rolled(step)
+            self._on_rolled(step)
         if self._caught_up:
             note(RecordApplied(offset, type(record).__name__, subject_of(record)))
 
-    def _rolled(self, step):
+    def _on_rolled(self, step):
         offset, bundle = step.logged.offset, step.state.bundle
         delay_ms = max(0, int(time.time() * MS_PER_S) - step.logged.time_ms)
         note(BundleInForce(offset, bundle.version, bundle.digest.hex(), delay_ms))
         if self._caught_up:
             self._metrics.time("rollout", delay_ms / MS_PER_S)
 
-    def _hasten_poll(self):
-        """Poll as soon as is due now, unless a poll comes before."""
-        timer, delay = self._poll_timer, self._list_delay()
+    def _reschedule_poll(self):
+        """Bring the next poll forward if the interval has become shorter."""
+        timer, delay = self._poll_timer, self._poll_delay_s()
         if timer is not None and timer.due > self._loop.now() + delay:
             timer.cancel()
-            self._poll_later(delay)
+            self._schedule_poll(delay)
 
-    def _poll_later(self, delay):
+    def _schedule_poll(self, delay):
         self._poll_timer = self._loop.call_later(delay, self._poll)
 
     def _poll(self):
         self._poll_timer = None
-        self._estate.list_vms(self._listed)
+        self._estate.list_vms(self._on_listed)
 
-    def _listed(self, result):
+    def _on_listed(self, result):
         reachable = not isinstance(result, Refusal)
         if reachable != self._platform_reachable:
             self._platform_reachable = reachable
@@ -199,24 +208,28 @@
         if reachable:
             self._metrics.count("list_bytes", self._estate.list_bytes)
             self._watch.take(result, self._loop.now())
-        self._poll_later(self._list_delay())
+        self._schedule_poll(self._poll_delay_s())
 
-    def _list_delay(self):
-        """Return seconds to the next list, which is read whole at a byte rate.
+    def _poll_delay_s(self):
+        """Return the seconds until the next poll of the VM list.
 
-        The rate is higher while a reboot of a pool that is ours is under way.
+        The interval bounds the average bytes per second, as each poll reads the
+        whole list. The rate is higher while this control monitors a reboot.
         """
-        rate = CLOSE_LIST_BYTES_PER_S if self._reboots_near() else LIST_BYTES_PER_S
-        wanted = self._estate.list_bytes / rate
-        return min(max(wanted, LIST_MIN_S), LIST_MAX_S)
+        rate = MONITOR_LIST_BYTES_PER_S if self._monitors_reboot() else LIST_BYTES_PER_S
+        wanted_s = self._estate.list_bytes / rate
+        return min(max(wanted_s, LIST_INTERVAL_MIN_S), LIST_INTERVAL_MAX_S)
+
+    def _monitors_reboot(self):
+        """Return whether a VM is rebooting in a pool that this control monitors.
 
-    def _reboots_near(self):
-        """Return whether a VM reboots of a pool whose first ranks hold this one."""
+        It monitors a pool if its rank there is at most MONITOR_RANK_MAX.
+        """
         state = self._follower.state
         for batch in state.batches.values():
-            place = rank(batch.source, self.cfg.name, state.members)
+            own_rank = rank(batch.source, self.cfg.name, state.members)
             phases = [state.vms[vm].phase for vm in batch.vms]
-            if place <= CLOSE_RANK and PHASE_REBOOTING in phases:
+            if own_rank <= MONITOR_RANK_MAX and PHASE_REBOOTING in phases:
                 return True
         return False
 
@@ -226,36 +239,39 @@
             self._log_reachable = self._follower.feed.reachable
             note(LogReachable(self._log_reachable))
         if not self._follower.fresh():
-            self._reboots.withhold()
+            self._reboots.log_withheld()
             return
-        begun = time.perf_counter()
+        start_s = time.perf_counter()
         self._replan()
         self._append_due()
-        called = self._reboots.call(self._follower.state)
-        self._metrics.count("reboots_called", called)
+        calls = self._reboots.call_due(self._follower.state)
+        self._metrics.count("reboots_called", calls)
         self._write_snapshot()
-        self._metrics.time("tick", time.perf_counter() - begun)
+        self._metrics.time("tick", time.perf_counter() - start_s)
 
     def _replan(self):
-        """Plan anew when the state or the list changed, or time may have told."""
+        """Plan again if the state or the VM list changed, or after PLAN_INTERVAL_S.
+
+        The interval is for decisions that depend on the time alone.
+        """
         now = self._loop.now()
         state, listed = self._follower.state, self._watch.listed
-        same = state is self._planned_state and listed is self._planned_list
-        if same and now - self._planned_s < PLAN_INTERVAL_S:
+        unchanged = state is self._planned_state and listed is self._planned_list
+        if unchanged and now - self._planned_at_s < PLAN_INTERVAL_S:
             return
         self._planned_state, self._planned_list = state, listed
-        self._planned_s = now
-        timed = attrs.evolve(state, time_ms=self._follower.log_time_ms())
-        planned = self._planner.plan(timed, list(listed.values()))
+        self._planned_at_s = now
+        present_state = attrs.evolve(state, time_ms=self._follower.log_time_ms())
+        planned = self._planner.plan(present_state, list(listed.values()))
         watched = self._watch.records(state, now)
-        self._planned = tuple(watched) + tuple(planned.records)
-        self._explain_waves((*planned.explanations, *planned.pools))
+        self._planned_records = tuple(watched) + tuple(planned.records)
+        self._explain_waves((*planned.explanations, *planned.pool_explanations))
 
     def _explain_waves(self, explanations):
-        known = self._explained
-        self._explained = {(item.wave, item.pool): item for item in explanations}
-        for place, item in self._explained.items():
-            if known.get(place) != item:
+        previous = self._explanations
+        self._explanations = {(item.wave, item.pool): item for item in explanations}
+        for key, item in self._explanations.items():
+            if previous.get(key) != item:
                 note(WaveExplained(item.wave, item.pool, str(item)))
 
     def _rank(self, record):
@@ -263,29 +279,31 @@
         return rank(shard_of(state, record), self.cfg.name, state.members)
 
     def _append_due(self):
-        for record in self._intents.due(self._planned, self._tick_count, self._rank):
-            record = self._own(record)
-            self._intents.started(record)
+        for record in self._intents.due(
+            self._planned_records, self._tick_count, self._rank
+        ):
+            record = self._with_control(record)
+            self._intents.mark_started(record)
             self._metrics.count("intents_appended")
-            kind, subject = type(record).__name__, subject_of(record)
-            note(IntentAppended(kind, subject, self._rank(record)))
-            self._follower.submit(record, partial(self._settled, record))
+            record_type, subject = type(record).__name__, subject_of(record)
+            note(IntentAppended(record_type, subject, self._rank(record)))
+            self._follower.submit(record, partial(self._on_settled, record))
 
-    def _own(self, record):
+    def _with_control(self, record):
         return attrs.evolve(record, control=self.cfg.name)
 
-    def _settled(self, record, verdict):
-        self._intents.settled(record, self._tick_count)
+    def _on_settled(self, record, verdict):
+        self._intents.mark_settled(record, self._tick_count)
         if isinstance(verdict, Refusal):
             self._metrics.count("intents_unsettled")
-            kind, subject = type(record).__name__, subject_of(record)
-            note(IntentUnsettled(kind, subject, str(verdict)))
+            record_type, subject = type(record).__name__, subject_of(record)
+            note(IntentUnsettled(record_type, subject, str(verdict)))
 
     def _write_snapshot(self):
         state = self._follower.state
-        place = rank(SHARD_SNAPSHOT, self.cfg.name, state.members)
+        own_rank = rank(SNAPSHOT_SHARD, self.cfg.name, state.members)
         replica, status = self._follower.replica, self._follower.feed.status
-        if not self._retention.due(replica, status, place, self._loop.now()):
+        if not self._retention.due(replica, status, own_rank, self._loop.now()):
             return
         parts = snapshot_records(state)
         note(SnapshotWritten(state.offset - 1, len(parts)))
@@ -294,14 +312,17 @@
 
     def _ready(self, query):
         if not self._follower.fresh():
-            return Refusal(Reason.UNAVAILABLE, "the log's tail is not known")
+            return Refusal(
+                Reason.UNAVAILABLE,
+                "the control has not read the tail of the log recently",
+            )
         return self._status(query)
 
     def _status(self, query):
         return control_status(
             self.cfg.name,
             self._follower,
-            tuple(self._explained.values()),
+            tuple(self._explanations.values()),
         )
 
     def _explain(self, query):
@@ -309,7 +330,7 @@
 
 
 def run(cfg):
-    """Run a control until it is told to stop."""
+    """Run a control until it receives a signal to stop."""
     start_journal(PROGRAM, cfg.name)
     loop = Loop()
     control = Control(cfg, loop, Net(loop))
@@ -319,7 +340,7 @@
 
 
 def main():
-    """Run the program with its command line."""
+    """Run the program with the arguments of the command line."""
     args = [item for item in sys.argv[1:] if item != "--check-settings"]
     if len(args) != 1 or args[0].startswith("-"):
         sys.exit(f"usage: {PROGRAM} SETTINGS.ini [--check-settings]")
--- a/src/cardamomgrade/decisions.py
+++ b/src/cardamomgrade/decisions.py
@@ -1,4 +1,4 @@
-"""Numbered events of the control: what it read, planned, appended and called."""
+"""Log events of the control: records read, plans, appends and reboot calls."""
 
 from .journal import event
 
@@ -6,7 +6,7 @@
 
 
 def subject_of(record):
-    """Return what a record is about, as text for a log line."""
+    """Return the main subject of a record as text for a log line, or an empty text."""
     for name in SUBJECT_FIELDS:
         value = getattr(record, name, None)
         if value is not None:
@@ -16,7 +16,7 @@
 
 @event(200)
 class ControlStarted:
-    """A control began to read the log."""
+    """The control has started and begins to read the log."""
 
     zone: str
     log: str
@@ -25,14 +25,14 @@
 
 @event(201)
 class CaughtUp:
-    """The control has folded all that the log held at its start."""
+    """The control has folded all records that the log held at its start."""
 
     offset: int
 
 
 @event(202)
 class RecordRefused:
-    """The fold refused a record; the state is as it was."""
+    """The fold refused a record; the state has not changed."""
 
     offset: int
     record: str
@@ -42,7 +42,7 @@
 
 @event(203)
 class RecordApplied:
-    """The fold took a record and changed the state."""
+    """The fold accepted a record and changed the state."""
 
     offset: int
     record: str
@@ -51,7 +51,10 @@
 
 @event(204)
 class BundleInForce:
-    """A bundle is in force; ``delay_ms`` from its roll by this VM's clock."""
+    """A bundle is in force.
+
+    ``delay_ms`` is the time since its BundleRolled by the clock of this VM.
+    """
 
     offset: int
     version: int
@@ -61,7 +64,7 @@
 
 @event(205)
 class WaveExplained:
-    """What a wave does in a pool or why it waits; logged when it changes."""
+    """What a wave does in a pool or why it waits; logged on each change."""
 
     wave: str
     pool: str
@@ -70,7 +73,7 @@
 
 @event(206)
 class IntentAppended:
-    """This control appends a record that it planned."""
+    """This control appends a planned record."""
 
     record: str
     subject: str
@@ -79,7 +82,7 @@
 
 @event(207)
 class IntentUnsettled:
-    """An append failed or was not read back."""
+    """An append failed, or its record did not appear on the log in time."""
 
     record: str
     subject: str
@@ -88,7 +91,7 @@
 
 @event(208)
 class RebootCalled:
-    """This control calls the platform under its own order."""
+    """This control calls the platform to reboot a VM, as it has ordered."""
 
     vm: str
     fence: int
@@ -96,7 +99,7 @@
 
 @event(209)
 class RebootAnswered:
-    """The outcome of a reboot call."""
+    """The platform answered a reboot call, or the call failed."""
 
     vm: str
     fence: int
@@ -105,7 +108,10 @@
 
 @event(210)
 class RebootWithheld:
-    """A reboot call waits since this control is not fresh."""
+    """A reboot call waits because this control is not fresh.
+
+    A control is fresh if it has read the tail of the log within a lease's length.
+    """
 
     vm: str
     fence: int
@@ -113,14 +119,14 @@
 
 @event(211)
 class LogReachable:
-    """The log service answers again, or no longer."""
+    """The log service has become reachable or unreachable."""
 
     reachable: bool
 
 
 @event(212)
 class PlatformReachable:
-    """The VM list is read again, or no longer."""
+    """The platform's VM list has become readable or unreadable."""
 
     reachable: bool
     detail: str
@@ -128,7 +134,7 @@
 
 @event(213)
 class SnapshotWritten:
-    """This control appends a snapshot of the state through an offset."""
+    """This control appends a snapshot of the state through offset ``through``."""
 
     through: int
     parts: int
@@ -136,21 +142,21 @@
 
 @event(214)
 class SnapshotRestored:
-    """The state was taken from a snapshot through an offset."""
+    """The state was restored from a snapshot through offset ``through``."""
 
     through: int
 
 
 @event(215)
 class RecordsLost:
-    """The next record is not retained; a snapshot is needed to go on."""
+    """The log no longer has the next record; the control needs a snapshot."""
 
     earliest: int
 
 
 @event(216)
 class RecordUnreadable:
-    """A record of the stream could not be read and was passed over."""
+    """A record on the log could not be decoded and was skipped."""
 
     offset: int
     detail: str
@@ -158,6 +164,6 @@
 
 @event(217)
 class ControlStopped:
-    """The control leaves in order."""
+    """The control was stopped by a signal."""
 
     offset: int
--- a/src/cardamomgrade/intent.py
+++ b/src/cardamomgrade/intent.py
@@ -1,4 +1,7 @@
-"""Which control appends which record: ranks by pool, and intents under way."""
+"""Decides which control appends a planned record, and when.
+
+An intent is a record that every control plans. The controls are ranked by pool.
+"""
 
 import hashlib
 
@@ -8,7 +11,10 @@
 
 
 def rank(shard, name, names):
-    """Return the place of ``name`` among ``names`` by rendezvous hash of a shard."""
+    """Return the rank of ``name`` among ``names`` for a shard, from 0.
+
+    Ranks follow a rendezvous hash: a new name leaves the order of the others as it is.
+    """
 
     def score(item):
         return hashlib.sha256(f"{shard}\0{item}".encode()).digest()
@@ -18,7 +24,7 @@
 
 
 def intent_key(record):
-    """Return a record without what differs between planners of the same intent."""
+    """Return a record without the fields in which equal intents of controls differ."""
     changes = {"control": ""}
     if hasattr(record, "builds_on"):
         changes["builds_on"] = 0
@@ -26,7 +32,10 @@
 
 
 def shard_of(state, record):
-    """Return the pool of the VMs that a record concerns, else its subject's name."""
+    """Return the pool of a record's VMs, by which its controls are ranked.
+
+    Without a pool this is the name of the record's entry, or else of its VM.
+    """
     vm = getattr(record, "vm", "")
     if hasattr(record, "vms"):
         vm = record.vms[0]
@@ -38,37 +47,39 @@
     return getattr(record, "entry", vm)
 
 
-class IntentBook:
-    """Intents by the tick at which they were first planned, and those appended."""
+class IntentSchedule:
+    """The ticks at which intents are due, and the intents being appended."""
 
     def __init__(self):
-        self._due = {}
+        self._due_ticks = {}
         self._pending = set()
 
     def due(self, records, tick, rank_of):
-        """Return the records to append at ``tick``.
+        """Return those of the planned ``records`` to append at ``tick``.
 
-        A record that stays planned is due as many ticks after it was first planned
-        as ``rank_of(record)`` tells, and not while its append is under way.
+        A record is due ``rank_of(record)`` ticks after it was first planned if it has
+        been planned at each tick since, but not while it is being appended.
         """
         planned = {intent_key(record): record for record in records}
-        self._due = {
-            key: self._due[key] if key in self._due else tick + rank_of(record)
+        self._due_ticks = {
+            key: self._due_ticks[key]
+            if key in self._due_ticks
+            else tick + rank_of(record)
             for key, record in planned.items()
         }
         return [
             record
             for key, record in planned.items()
-            if key not in self._pending and self._due[key] <= tick
+            if key not in self._pending and self._due_ticks[key] <= tick
         ]
 
-    def started(self, record):
-        """Note that the append of a record is under way."""
+    def mark_started(self, record):
+        """Record that the append of a record has started."""
         self._pending.add(intent_key(record))
 
-    def settled(self, record, tick):
-        """Note an append's outcome; a repeat has to wait for some ticks."""
+    def mark_settled(self, record, tick):
+        """Record that an append has an outcome; it is due again after RETRY_TICKS."""
         key = intent_key(record)
         self._pending.discard(key)
-        if key in self._due:
-            self._due[key] = tick + RETRY_TICKS
+        if key in self._due_ticks:
+            self._due_ticks[key] = tick + RETRY_TICKS
--- a/src/cardamomgrade/reboots.py
+++ b/src/cardamomgrade/reboots.py
@@ -1,7 +1,8 @@
-"""Reboot calls to the platform under the orders of one control.
+"""Calls the platform to reboot VMs, as ordered by one control.
 
-The platform refuses a fence that is not higher than the last, and an order is called
-only while it is the last one of a VM that the log shows as rebooting.
+The fence of a call is the offset of its order on the log. The platform refuses a fence
+that is not higher than the last one of this VM. The control calls only for the latest
+order of a VM, and only while the log shows this VM as rebooting.
 """
 
 from functools import partial
@@ -19,16 +20,23 @@
 
 @attrs.define
 class _Order:
-    """A reboot order of this control and when it last called the platform."""
+    """A reboot order of this control.
+
+    ``called`` is whether a call is in progress or was answered by the platform,
+    ``last_call_s`` the time of the last call in monotonic seconds.
+    """
 
     fence: int
-    called_s: float = -CALL_RETRY_S
+    last_call_s: float = -CALL_RETRY_S
     called: bool = False
-    withheld: bool = False
+    withheld_logged: bool = False
+
 
+class RebootCaller:
+    """Makes the reboot calls of the control ``name``.
 
-class Reboots:
-    """The orders of the control ``name``; ``now()`` is monotonic seconds."""
+    ``now()`` returns monotonic seconds.
+    """
 
     def __init__(self, name, estate, now):
         self._name = name
@@ -36,23 +44,26 @@
         self._now = now
         self._orders = {}
 
-    def ordered(self, record, offset):
-        """Take an accepted RebootOrdered; those of other controls end a right."""
+    def add_order(self, record, offset):
+        """Add an accepted RebootOrdered with its offset.
+
+        It replaces an earlier order for this VM, also if it is another control's.
+        """
         self._orders.pop(record.vm, None)
         if record.control == self._name:
             self._orders[record.vm] = _Order(offset)
 
-    def call(self, state):
-        """Call the platform for each order that is due; return how many were.
+    def call_due(self, state):
+        """Call the platform for each order that is due; return the number of calls.
 
-        The caller has just made sure that ``state`` is fresh.
+        The caller has to check just before that ``state`` is fresh.
         """
         now = self._now()
         due = []
         for vm, order in list(self._orders.items()):
-            if not _right_holds(state, vm, order):
+            if not _is_latest(state, vm, order):
                 del self._orders[vm]
-            elif not order.called and now - order.called_s >= CALL_RETRY_S:
+            elif not order.called and now - order.last_call_s >= CALL_RETRY_S:
                 due.append((vm, order))
         for vm, order in due:
             self._call(vm, order, now)
@@ -60,26 +71,26 @@
 
     def _call(self, vm, order, now):
         order.called = True
-        order.called_s = now
+        order.last_call_s = now
         note(RebootCalled(vm, order.fence))
-        self._estate.reboot(vm, order.fence, partial(self._answered, vm, order))
+        self._estate.reboot(vm, order.fence, partial(self._on_answered, vm, order))
 
-    def _answered(self, vm, order, result):
+    def _on_answered(self, vm, order, result):
         outcome = str(result) if isinstance(result, Refusal) else OUTCOME_TAKEN
         note(RebootAnswered(vm, order.fence, outcome))
         if isinstance(result, Refusal) and result.reason is Reason.UNAVAILABLE:
             order.called = False
 
-    def withhold(self):
-        """Note the orders that wait since the control is not fresh."""
+    def log_withheld(self):
+        """Log each order not called yet, once, as the control is not fresh."""
         for vm, order in self._orders.items():
-            if not order.called and not order.withheld:
-                order.withheld = True
+            if not order.called and not order.withheld_logged:
+                order.withheld_logged = True
                 note(RebootWithheld(vm, order.fence))
 
 
-def _right_holds(state, vm, order):
-    """Return whether an order is the last one of a VM that is to reboot."""
+def _is_latest(state, vm, order):
+    """Return whether an order is the latest of a VM that is rebooting."""
     item = state.vms.get(vm)
     if item is None or item.phase != PHASE_REBOOTING:
         return False
--- a/tests/steps/control.py
+++ b/tests/steps/control.py
@@ -14,10 +14,10 @@
 from cardamomgrade import follower as follower_module
 from cardamomgrade.estate import ListedVm, RebootTaken
 from cardamomgrade.follower import BEAT_S, Follower, PAUSE_S
-from cardamomgrade.intent import IntentBook, rank
+from cardamomgrade.intent import IntentSchedule, rank
 from cardamomgrade.loop import Loop
 from cardamomgrade.net import Net
-from cardamomgrade.reboots import CALL_RETRY_S, Reboots
+from cardamomgrade.reboots import CALL_RETRY_S, RebootCaller
 from cardamomgrade.records import DrainStarted, Logged, RebootOrdered, VmFailed
 from cardamomgrade.refusal import Reason, Refusal
 from cardamomgrade.replica import Replica, Restored, Step
@@ -57,16 +57,16 @@
     @FIXED
     @given(plans, st.integers(0, 3))
     def check(ticks, delay):
-        book, planned_for, appended = IntentBook(), {}, set()
+        schedule, planned_for, appended = IntentSchedule(), {}, set()
         for tick, plan in enumerate(ticks):
             planned_for = {item: planned_for.get(item, tick) for item in plan}
             records = [DrainStarted(item, "c") for item in plan]
-            due = {item.batch for item in book.due(records, tick, lambda _: delay)}
+            due = {item.batch for item in schedule.due(records, tick, lambda _: delay)}
             late = {item for item, since in planned_for.items() if tick - since < delay}
             assert due == plan - late - appended
             appended |= due
             for item in due:
-                book.started(DrainStarted(item, "another"))
+                schedule.mark_started(DrainStarted(item, "another"))
 
     check()
 
@@ -164,12 +164,12 @@
         (False, SimpleNamespace(vms={}), []),
     ):
         platform = _Platform()
-        reboots = Reboots("c", platform, lambda: 100.0)
-        reboots.ordered(order, fence)
+        reboots = RebootCaller("c", platform, lambda: 100.0)
+        reboots.add_order(order, fence)
         if superseded:
-            reboots.ordered(newer, fence + 1)
-        reboots.call(seen)
-        reboots.call(seen)
+            reboots.add_order(newer, fence + 1)
+        reboots.call_due(seen)
+        reboots.call_due(seen)
         assert platform.calls == calls, (superseded, platform.calls)
 
 
@@ -179,9 +179,9 @@
     clock = iter((0.0, CALL_RETRY_S / 2, CALL_RETRY_S, 2 * CALL_RETRY_S, 9.0))
     down = Refusal(Reason.UNAVAILABLE)
     platform = _Platform(down, Refusal(Reason.UNKNOWN))
-    reboots = Reboots("c", platform, lambda: next(clock))
-    reboots.ordered(RebootOrdered(0, "a1", "c"), fence)
-    counts = [reboots.call(state) for _ in range(5)]
+    reboots = RebootCaller("c", platform, lambda: next(clock))
+    reboots.add_order(RebootOrdered(0, "a1", "c"), fence)
+    counts = [reboots.call_due(state) for _ in range(5)]
     assert counts == [1, 0, 1, 0, 0], counts
 
 
