--- a/src/cardamomgrade/batch.py
+++ b/src/cardamomgrade/batch.py
@@ -258,10 +258,10 @@
 def reboot_after_ms(state, batch):
     """Return the log time in ms from which a draining batch's VMs may be rebooted.
 
-    Unless all members have confirmed, this is the drain timeout. It allows for an
-    entry that has not read the drain: it may send requests until its lease ends, and
-    these run for at most the longest deadline. With all confirmations the time is
-    ``state.quiet_after_ms`` if that is earlier.
+    Unless there are members and all have confirmed, this is the drain timeout. It
+    allows for an entry that has not read the drain: it may send requests until its
+    lease ends, and these run for at most the longest deadline. With all confirmations
+    the time is ``state.quiet_after_ms`` if that is earlier.
     """
     timeout_ms = batch.drain_time_ms + LEASE_MS + state.deadline_peak_ms + MARGIN_MS
     if state.members and not missing_confirms(state, batch):
--- a/tests/golden.feature
+++ b/tests/golden.feature
@@ -1,12 +1,13 @@
 @golden
 Feature: golden sessions
 
-  Whole sessions in process with a clock and a seed of their own: bundle, wave, failure
-  and recovery. `make golden` renews the files under tests/golden.
+  Each session runs a bundle, a wave, failures and recoveries in one process with a
+  simulated clock and a fixed seed. Its decisions must equal the approved file.
+  `make golden` renews the files under tests/golden.
 
-  Scenario Outline: the session of a deployment
-    When the session of "<deployment>" is played with seed <seed>
-    Then its decision log is the approved one
+  Scenario Outline: the decisions of a deployment's session
+    When the session of "<deployment>" runs with seed <seed>
+    Then its decision log equals the approved one
 
     Examples:
       | deployment  | seed |
--- a/tests/steps/control.py
+++ b/tests/steps/control.py
@@ -1,4 +1,4 @@
-"""Steps for the pure parts of the control and its follower."""
+"""Steps for the parts of the control that run without a process, and the follower."""
 
 import subprocess
 import sys
@@ -31,26 +31,26 @@
 ROOT = Path(__file__).resolve().parents[2]
 FIXED = settings(max_examples=100, derandomize=True, deadline=None, database=None)
 NAMES = st.lists(st.text(min_size=1, max_size=4), min_size=1, max_size=7, unique=True)
-SOON_S = 5.0
+WAIT_S = 5.0
 
 
-@then("generated names are ranked alike by all and moved little by a newcomer")
+@then("generated names get distinct ranks, whose order a new name does not change")
 def step_ranks(context):
     @FIXED
     @given(st.text(max_size=5), NAMES, st.text(min_size=5, max_size=5))
-    def check(shard, names, newcomer):
+    def check(shard, names, new_name):
         ranks = {name: rank(shard, name, names) for name in names}
         assert sorted(ranks.values()) == list(range(len(names)))
-        grown = [*names, newcomer]
+        grown = [*names, new_name]
         order = sorted(names, key=ranks.get)
         kept = sorted(grown, key=lambda name: rank(shard, name, grown))
-        kept.remove(newcomer)
+        kept.remove(new_name)
         assert kept == order
 
     check()
 
 
-@then("generated plans are appended once, after the rank's delay")
+@then("the intents of generated plans are appended once, after the delay by rank")
 def step_intents(context):
     plans = st.lists(st.frozensets(st.integers(0, 3)), min_size=1, max_size=30)
 
@@ -62,8 +62,10 @@
             planned_for = {item: planned_for.get(item, tick) for item in plan}
             records = [DrainStarted(item, "c") for item in plan]
             due = {item.batch for item in schedule.due(records, tick, lambda _: delay)}
-            late = {item for item, since in planned_for.items() if tick - since < delay}
-            assert due == plan - late - appended
+            not_due = {
+                item for item, since in planned_for.items() if tick - since < delay
+            }
+            assert due == plan - not_due - appended
             appended |= due
             for item in due:
                 schedule.mark_started(DrainStarted(item, "another"))
@@ -80,7 +82,7 @@
     return [type(record).__name__ for record in watch.records(state, now)]
 
 
-@then("a failure is recorded after two lists and a recovery after two more")
+@then("a failure is recorded after two lists show it and a recovery after two more")
 def step_failures(context):
     state = SimpleNamespace(vms=fleet_log().state.vms, members={})
     only = SimpleNamespace(vms={"a1": state.vms["a1"]}, members={})
@@ -94,7 +96,7 @@
     assert _records(watch, only, 4.0) == []
 
 
-@then("a VM joins only when it is live with the fence of its last order")
+@then("a VM joins only when it is live with the fence of its last reboot order")
 def step_joins(context):
     state, fence = rebooting_state("a1")
     watch = Watch("c")
@@ -103,7 +105,7 @@
     assert "VmJoined" in _records(watch, state, 1.0, _listed(fence=fence))
 
 
-@then("an order without effect is given again only after its time")
+@then("a reboot order without effect is repeated only after ten seconds")
 def step_reorder(context):
     state, fence = rebooting_state("a1")
     watch = Watch("c")
@@ -115,7 +117,9 @@
     assert "RebootOrdered" in _records(watch, state, REORDER_S, item)
 
 
-@then("an entry is gone only when its VM was missing for ten seconds, not failed")
+@then(
+    "an entry is recorded as gone if its VM was missing for ten seconds, not if failed"
+)
 def step_gone(context):
     full = fleet_log().state
     state = SimpleNamespace(vms={}, members=full.members)
@@ -134,8 +138,8 @@
     assert _records(watch, state, 23.0 + 2 * GONE_S) == ["MemberGone"]
 
 
-class _Platform:
-    """Records reboot calls and answers them as told."""
+class _FakePlatform:
+    """Records reboot calls and returns the given answers, then accepts all."""
 
     def __init__(self, *answers):
         self.calls = []
@@ -147,7 +151,7 @@
 
 
 @then("a reboot is called once, and not after a newer order or a join")
-def step_paused_holder(context):
+def step_reboot_once(context):
     state, fence = rebooting_state("a1")
     order = RebootOrdered(0, "a1", "c")
     newer = attrs.evolve(order, control="another")
@@ -163,7 +167,7 @@
         (False, changed(fence=fence + 1), []),
         (False, SimpleNamespace(vms={}), []),
     ):
-        platform = _Platform()
+        platform = _FakePlatform()
         reboots = RebootCaller("c", platform, lambda: 100.0)
         reboots.add_order(order, fence)
         if superseded:
@@ -173,19 +177,19 @@
         assert platform.calls == calls, (superseded, platform.calls)
 
 
-@then("a reboot that the platform did not take is called again")
+@then("a reboot call that did not reach the platform is repeated")
 def step_call_again(context):
     state, fence = rebooting_state("a1")
     clock = iter((0.0, CALL_RETRY_S / 2, CALL_RETRY_S, 2 * CALL_RETRY_S, 9.0))
     down = Refusal(Reason.UNAVAILABLE)
-    platform = _Platform(down, Refusal(Reason.UNKNOWN))
+    platform = _FakePlatform(down, Refusal(Reason.UNKNOWN))
     reboots = RebootCaller("c", platform, lambda: next(clock))
     reboots.add_order(RebootOrdered(0, "a1", "c"), fence)
     counts = [reboots.call_due(state) for _ in range(5)]
     assert counts == [1, 0, 1, 0, 0], counts
 
 
-@then("the first in rank writes a snapshot and the others wait for it")
+@then("the control with rank 0 writes a snapshot and the others wait for it")
 def step_retention(context):
     state = SimpleNamespace(offset=50)
     status = SimpleNamespace(earliest=0, tail=50)
@@ -214,14 +218,14 @@
     assert retention.due(replica(10), status, 1, RANK_DELAY_S)
 
 
-@then("a generated log is folded alike from a snapshot and from its start")
+@then("a generated log gives the same state from a snapshot as from its start")
 def step_snapshot_start(context):
     logged = fleet_log().logged
 
     @FIXED
     @given(st.integers(1, len(logged)), st.integers(0, 3))
     def check(cut, kept):
-        whole, newcomer = Replica(), Replica()
+        whole, restored = Replica(), Replica()
         whole.take(logged[:cut])
         parts = snapshot_records(whole.state)
         tail = [
@@ -234,16 +238,16 @@
             if not hasattr(item.record, "batch")
         ]
         earliest = max(0, cut - kept)
-        newcomer.lost(earliest)
+        restored.lost(earliest)
         whole.take([*tail, *rest])
-        results = newcomer.take([*logged[earliest:cut], *tail, *rest])
+        results = restored.take([*logged[earliest:cut], *tail, *rest])
         assert isinstance(results[0], Restored)
-        assert newcomer.state == whole.state
+        assert restored.state == whole.state
 
     check()
 
 
-@then("snapshots that are torn, foreign or older than the state are passed over")
+@then("snapshots that are damaged, incomplete or older than the state are skipped")
 def step_bad_snapshots(context):
     logged = fleet_log().logged
     whole = Replica()
@@ -256,15 +260,15 @@
         attrs.evolve(part, parts=part.parts + 1),
         attrs.evolve(part, through=part.through + 1),
     ):
-        newcomer = Replica()
-        newcomer.lost(end)
-        assert newcomer.take([Logged(end, 0, bad)]) == []
-        assert newcomer.waiting, "started from nothing"
+        restored = Replica()
+        restored.lost(end)
+        assert restored.take([Logged(end, 0, bad)]) == []
+        assert restored.waiting, "restored a bad snapshot"
     stale = Replica()
     stale.take([*logged, Logged(end, 0, VmFailed("a1", "c"))])
     stale.lost(end + 5)
     assert stale.take([Logged(end + 5, 0, part)]) == []
-    assert stale.waiting, "the state went back"
+    assert stale.waiting, "restored an older state"
 
 
 @given_step("a follower of a log in this process")
@@ -285,7 +289,7 @@
     address = f"127.0.0.1:{port}"
     context.follower = Follower(context.loop, net, address, lambda results: None)
     context.follower.start()
-    assert context.loop.run_until(context.follower.fresh, SOON_S)
+    assert context.loop.run_until(context.follower.fresh, WAIT_S)
 
 
 def _submit(context):
@@ -293,7 +297,7 @@
     context.verdicts = []
     context.follower.submit(context.record, context.verdicts.append)
     with mock.patch.object(follower_module, "SETTLE_S", 0.2):
-        context.loop.run_until(lambda: bool(context.verdicts), SOON_S)
+        context.loop.run_until(lambda: bool(context.verdicts), WAIT_S)
         context.loop.run_until(lambda: False, 0.3)
 
 
@@ -315,7 +319,7 @@
     _submit(context)
 
 
-@then("the verdict is the step read back")
+@then("the verdict is the step read from the log")
 def step_verdict_step(context):
     (verdict,) = context.verdicts
     assert isinstance(verdict, Step) and verdict.logged.record == context.record
@@ -328,8 +332,8 @@
     assert verdict.reason is Reason(reason), verdict
 
 
-@when("the process stands still while the log is down")
-def step_stand_still(context):
+@when("the process is suspended while the log is down")
+def step_suspend(context):
     assert not context.follower.paused()
     context.log.faults.log = "down"
     now = context.loop.now
@@ -341,10 +345,10 @@
     loop, follower = context.loop, context.follower
     assert follower.paused(), "before the first callback"
     loop.run_until(lambda: False, 3 * BEAT_S)
-    assert follower.paused(), "forgot the pause"
-    assert not follower.fresh(), "fresh without a read"
+    assert follower.paused(), "not paused before a read of the tail"
+    assert not follower.fresh(), "fresh before a read of the tail"
     context.log.faults.log = "up"
-    assert loop.run_until(follower.fresh, SOON_S), "never fresh"
+    assert loop.run_until(follower.fresh, WAIT_S), "never fresh"
     assert not follower.paused(), "still paused"
 
 
@@ -368,7 +372,7 @@
         assert "key = (hidden)" in result.stdout and "tick_ms" in result.stdout
 
 
-@then("a bad control setting ends with status 2 and its place")
+@then("a bad control setting ends with status 2 and an error that names it")
 def step_bad_setting(context):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
--- a/tests/steps/golden.py
+++ b/tests/steps/golden.py
@@ -1,4 +1,4 @@
-"""Steps that play whole sessions and compare their decision logs."""
+"""Steps that run simulated sessions and compare their decisions with approved logs."""
 
 import os
 import random
@@ -29,10 +29,10 @@
 ROUND_MS = 1000
 ROUNDS_MAX = 400
 FAILURE_ROUND, RECOVERY_ROUND = 4, 16
-FREEZE_ROUND, THAW_ROUND = 20, 60
+FREEZE_ROUND, RESUME_ROUND = 20, 60
 WAVE_ROUND = re.compile(r"^round = 0$", re.MULTILINE)
-QUIET_FIELDS = {"control", "entry", "incarnation", "builds_on", "digest", "parent"}
-SECTIONS_SHOWN = 4
+HIDDEN_FIELDS = {"control", "entry", "incarnation", "builds_on", "digest", "parent"}
+ITEMS_SHOWN_MAX = 4
 
 
 @attrs.frozen
@@ -44,10 +44,10 @@
 
 
 class Session:
-    """One deployment from its first bundle to the end of a wave, as readable lines.
+    """A simulation of a deployment from its first bundle to the end of a wave.
 
     The seed chooses the VM that is moved, the VMs that fail and the entry that
-    freezes. Each round takes a second of the log's time.
+    freezes. Each round takes a second of log time. ``lines`` is the decision log.
     """
 
     def __init__(self, deployment, seed):
@@ -56,31 +56,31 @@
         self.log = FleetLog()
         self.planner = Planner()
         self.lines = []
-        self.told = {}
-        self.failing = []
-        self.frozen = None
-        self.lowest = {}
+        self.explained = {}
+        self.failed_vms = []
+        self.frozen_entry = None
+        self.min_serving = {}
         first = parse_bundle(text)
         self.seats = [Seat(name, "", f"{name}:1", 1) for name in first.seats]
         self._roll(first)
         for seat in self.seats:
-            self._append(self._owed(seat)[0])
-        self._roll(parse_bundle(self._revised(text, first)))
+            self._append(self._owed_records(seat)[0])
+        self._roll(parse_bundle(self._second_version(text, first)))
 
-    def play(self):
-        """Play rounds until the wave is done and return the text."""
+    def run(self):
+        """Run rounds until the wave is done and return the decision log."""
         for number in range(ROUNDS_MAX):
             self.log.time_ms += ROUND_MS
-            self._happen(number)
-            if not self._plan() and number > THAW_ROUND:
+            self._inject_faults(number)
+            if not self._plan() and number > RESUME_ROUND:
                 break
-            self._answer()
-            self._reboot()
-            self._measure()
-        self._close()
+            self._answer_entries()
+            self._join_rebooted_vms()
+            self._measure_serving()
+        self._write_summary()
         return "\n".join(self.lines) + "\n"
 
-    def _revised(self, text, bundle):
+    def _second_version(self, text, bundle):
         """Return the bundle's second version: a wave and one VM in another pool."""
         pools = list(bundle.pools)
         vm = self.rng.choice([vm for vm in bundle.vms.values() if vm.pool == pools[0]])
@@ -89,116 +89,118 @@
         text = text.replace(old, new).replace("version = 1", "version = 2", 1)
         return WAVE_ROUND.sub("round = 1", text)
 
-    def _say(self, text):
+    def _write(self, text):
         self.lines.append(f"{self.log.time_ms / 1000:6.1f} s  {text}")
 
     def _append(self, record):
         offset = self.log.state.offset
         refusal = self.log.append(record)
         fields = [
-            f"{field.name}={_shown(getattr(record, field.name))}"
+            f"{field.name}={_format_value(getattr(record, field.name))}"
             for field in attrs.fields(type(record))
-            if field.name not in QUIET_FIELDS
+            if field.name not in HIDDEN_FIELDS
         ]
         entry = getattr(record, "entry", "")
         verdict = f"  refused, {refusal}" if refusal is not None else ""
         parts = [f"#{offset}", type(record).__name__, entry, *fields]
-        self._say(" ".join(part for part in parts if part) + verdict)
+        self._write(" ".join(part for part in parts if part) + verdict)
 
     def _roll(self, bundle):
         self._append(self.log.proposal(bundle))
         self._append(records.BundleSigned(bundle.digest, "second-operator"))
         self._append(records.BundleRolled(bundle.digest, "first-operator"))
 
-    def _owed(self, seat):
+    def _owed_records(self, seat):
         return owed_records(self.log.state, seat, lambda vm: 0)
 
-    def _answer(self):
-        """Append what the entries owe; one line tells all of one kind and batch."""
-        told = {}
+    def _answer_entries(self):
+        """Append the records owed by entries; write a line for each type and batch."""
+        answers = {}
         for seat in self.seats:
-            if seat.name == self.frozen:
+            if seat.name == self.frozen_entry:
                 continue
-            for record in self._owed(seat):
+            for record in self._owed_records(seat):
                 refusal = self.log.append(record)
                 key = (type(record).__name__, record.batch, refusal)
-                told.setdefault(key, []).append(seat.name)
-        for (kind, batch, refusal), names in told.items():
+                answers.setdefault(key, []).append(seat.name)
+        for (record_type, batch, refusal), names in answers.items():
             verdict = f"  refused, {refusal}" if refusal is not None else ""
-            self._say(f"{kind} batch={batch} by {', '.join(names)}{verdict}")
+            self._write(f"{record_type} batch={batch} by {', '.join(names)}{verdict}")
 
-    def _happen(self, number):
+    def _inject_faults(self, number):
         vms = sorted(self.log.state.vms)
         if number == FAILURE_ROUND:
-            self.failing = sorted(self.rng.sample(vms, 2))
-            for vm in self.failing:
+            self.failed_vms = sorted(self.rng.sample(vms, 2))
+            for vm in self.failed_vms:
                 self._append(records.VmFailed(vm, "control-1"))
         if number == RECOVERY_ROUND:
-            for vm in self.failing:
+            for vm in self.failed_vms:
                 self._append(records.VmRecovered(vm, "control-1"))
-            self.failing = []
+            self.failed_vms = []
         if number == FREEZE_ROUND:
-            self.frozen = self.rng.choice(self.seats).name
-            self._say(f"{self.frozen} freezes")
-        if number == THAW_ROUND:
-            self._say(f"{self.frozen} goes on")
-            self.frozen = None
+            self.frozen_entry = self.rng.choice(self.seats).name
+            self._write(f"{self.frozen_entry} freezes")
+        if number == RESUME_ROUND:
+            self._write(f"{self.frozen_entry} goes on")
+            self.frozen_entry = None
 
     def _plan(self):
-        """Append what the planner wants; return whether work is left."""
+        """Append the planned records; return whether the wave goes on."""
         state = self.log.state
         listed = [
-            Listed(vm, "failed" if vm in self.failing else "live") for vm in state.vms
+            Listed(vm, "failed" if vm in self.failed_vms else "live")
+            for vm in state.vms
         ]
         result = self.planner.plan(state, listed)
         for item in result.explanations:
             text = str(item)
-            if self.told.get(item.wave) != text:
-                self.told[item.wave] = text
-                self._say(f"wave {item.wave}: {text}")
+            if self.explained.get(item.wave) != text:
+                self.explained[item.wave] = text
+                self._write(f"wave {item.wave}: {text}")
         for record in result.records:
             self._append(attrs.evolve(record, control="control-1"))
         return bool(result.records or self.log.state.batches)
 
-    def _reboot(self):
+    def _join_rebooted_vms(self):
         for vm in sorted(self.log.state.vms):
             item = self.log.state.vms[vm]
-            if item.phase == "rebooting" and vm not in self.failing:
+            if item.phase == "rebooting" and vm not in self.failed_vms:
                 self._append(records.VmJoined(item.batch, vm, item.fence, "control-1"))
 
-    def _measure(self):
+    def _measure_serving(self):
         state = self.log.state
         for pool in state.vms.pools():
             active = sum(vm.active for vm in state.vms.pool(pool).values())
-            self.lowest[pool] = min(active, self.lowest.get(pool, active))
+            self.min_serving[pool] = min(active, self.min_serving.get(pool, active))
 
-    def _close(self):
+    def _write_summary(self):
         state = self.log.state
-        for pool in sorted(self.lowest):
+        for pool in sorted(self.min_serving):
             vms = sorted(state.vms.pool(pool))
-            self._say(
-                f"pool {pool}: {len(vms)} VMs, {self.lowest[pool]} served at least, "
+            self._write(
+                f"pool {pool}: {len(vms)} VMs, "
+                f"{self.min_serving[pool]} served at least, "
                 f"{state.required[pool]} must"
             )
         rebooted = sum(vm.fence >= 0 for vm in state.vms.values())
-        self._say(f"{rebooted} of {len(state.vms)} VMs rebooted")
+        self._write(f"{rebooted} of {len(state.vms)} VMs rebooted")
 
 
-def _shown(value):
-    if isinstance(value, tuple) and len(value) > SECTIONS_SHOWN:
+def _format_value(value):
+    if isinstance(value, tuple) and len(value) > ITEMS_SHOWN_MAX:
         return f"{len(value)} of them"
     if isinstance(value, tuple):
         return ",".join(getattr(item, "name", item) for item in value) or "none"
     return value or '""'
 
 
-@when('the session of "{deployment}" is played with seed {seed:d}')
-def step_play(context, deployment, seed):
+@when('the session of "{deployment}" runs with seed {seed:d}')
+def step_run_session(context, deployment, seed):
     context.deployment = deployment
-    context.decisions = Session(deployment, seed).play()
+    context.decisions = Session(deployment, seed).run()
 
 
-@then("its decision log is the approved one")
+@then("its decision log equals the approved one")
 def step_approved(context):
     renew = os.environ.get(RENEW) == "1"
     reporter = ReporterThatAutomaticallyApproves() if renew else PythonNativeReporter()
--- a/tests/steps/wave_run.py
+++ b/tests/steps/wave_run.py
@@ -1,4 +1,4 @@
-"""Steps for waves run by control processes against the stand-in."""
+"""Steps for waves that control processes run against a simulated platform."""
 
 import json
 import signal
@@ -13,9 +13,9 @@
 from loops import ask
 from waves import KEY, WAVE_LIMIT_S, World
 
-NOTHING = "nothing"
-QUIET_S = 3.0
-SPARE_VMS = 2
+NONE_WITHHELD = "nothing"
+NO_REBOOT_S = 3.0
+VMS_OUT_MAX = 2
 
 
 @given("a platform with endpoints and {count:d} control")
@@ -28,16 +28,16 @@
         context.world.start_control(f"e{index + 1}")
 
 
-@given('the entries hold back "{record}"')
-@when('the entries hold back "{record}"')
-def step_hold(context, record):
+@given('the entries withhold "{record}"')
+@when('the entries withhold "{record}"')
+def step_withhold(context, record):
     for entry in context.world.entries:
-        entry.held = set() if record == NOTHING else {record}
+        entry.withheld = set() if record == NONE_WITHHELD else {record}
 
 
 @given("the answers to {appends:d} appends and {reboots:d} reboots will be lost")
 def step_lose(context, appends, reboots):
-    context.world.faults(lose_answers=appends, lose_reboot_answers=reboots)
+    context.world.set_faults(lose_answers=appends, lose_reboot_answers=reboots)
 
 
 @when("the bundle with a wave is rolled")
@@ -47,7 +47,7 @@
 
 @when('a VM is "{phase}"')
 def step_phase(context, phase):
-    context.world.until_phase(phase)
+    context.world.run_until_phase(phase)
 
 
 @when("the control is killed and replaced")
@@ -56,74 +56,76 @@
     context.world.start_control("e1")
 
 
-@when("the first control freezes")
-def step_freeze(context):
+@when("the first control is suspended")
+def step_suspend(context):
     context.world.signal("e1", signal.SIGSTOP)
 
 
-@when("the first control wakes")
-def step_wake(context):
+@when("the first control resumes")
+def step_resume(context):
     context.world.signal("e1", signal.SIGCONT)
-    context.world.rig.run_for(QUIET_S)
+    context.world.rig.run_for(NO_REBOOT_S)
 
 
 @when("the log is down for {seconds:d} seconds")
-def step_outage(context, seconds):
+def step_log_down(context, seconds):
     world = context.world
-    before = world.faults(log="down")["appends"]
+    before = world.set_faults(log="down")["appends"]
     world.rig.run_for(seconds)
-    assert world.faults(log="up")["appends"] == before
+    assert world.set_faults(log="up")["appends"] == before
 
 
-@then("the wave ends with each VM rebooted once and the budget kept")
+@then("the wave completes with each VM rebooted once and the budget kept")
 def step_wave_ends(context):
     world = context.world
     world.rig.run_until(world.wave_done, WAVE_LIMIT_S)
     _check_reboots(world)
-    assert 1 <= world.most_out() <= SPARE_VMS, world.most_out()
+    assert 1 <= world.max_vms_out() <= VMS_OUT_MAX, world.max_vms_out()
 
 
 def _check_reboots(world):
-    counts = world.reboots()
+    counts = world.reboot_counts()
     wrong = {vm: n for vm, n in counts.items() if n != (vm[0] == "a")}
     assert not wrong, counts
 
 
-@then("no reboot was ordered before the wait-out of its drain had passed")
-def step_waited_out(context):
+@then("no reboot was ordered before the timeout of its drain")
+def step_drain_timeout(context):
     drains = {
         logged.record.batch: logged.time_ms
         for logged in context.world.logged(DrainStarted)
     }
-    wait_ms = LEASE_MS + context.world.state.deadline_peak_ms + MARGIN_MS
+    timeout_ms = LEASE_MS + context.world.state.deadline_peak_ms + MARGIN_MS
     orders = context.world.logged(RebootOrdered)
     assert orders and context.world.state.deadline_peak_ms
     for order in orders:
-        assert order.time_ms - drains[order.record.batch] >= wait_ms, order
+        assert order.time_ms - drains[order.record.batch] >= timeout_ms, order
 
 
-@when("the second entry dies")
-def step_dies(context):
+@when("the second entry terminates")
+def step_terminate(context):
     world = context.world
     world.rig.run_until(lambda: len(world.state.members) == len(world.entries))
-    world.entries[1].die()
+    world.entries[1].terminate()
 
 
-@when("the second entry freezes for longer than a missing one is waited for")
-def step_freezes(context):
+@when(
+    "the second entry stops answering for longer than the time limit of a missing one"
+)
+def step_silence(context):
     world = context.world
     world.rig.run_until(lambda: len(world.state.members) == len(world.entries))
-    world.entries[1].dead = True
-    context.thaw = lambda: setattr(world.entries[1], "dead", False)
+    world.entries[1].silent = True
+    context.resume_entry = lambda: setattr(world.entries[1], "silent", False)
 
 
-@then("no drain starts and no entry is gone until it is back")
-def step_held_up(context):
+@then("no drain starts and no entry is recorded as gone until it answers again")
+def step_wave_waits(context):
     world = context.world
     world.rig.run_for(GONE_S + 2.0)
     assert not world.logged(DrainStarted)
     assert not world.logged(MemberGone)
-    context.thaw()
+    context.resume_entry()
 
 
 @then("the first drain started after the entry was recorded as gone")
@@ -133,8 +135,8 @@
     assert context.world.logged(DrainStarted)[0].offset > gone.offset
 
 
-@then("nothing more is rebooted")
-def step_nothing_more(context):
+@then("no VM is rebooted again")
+def step_no_reboot(context):
     assert not context.world.state.batches
     _check_reboots(context.world)
 
@@ -143,17 +145,16 @@
 def step_snapshots(context, count):
     world = context.world
     world.start_control("e2", snapshot_s=1)
-
     world.rig.run_until(lambda: world.logged(Snapshot))
-    world.faults(retain=count)
+    world.set_faults(retain=count)
 
 
-@when("a newcomer starts")
-def step_newcomer(context):
+@when("a new control starts")
+def step_new_control(context):
     context.ops = context.world.start_control("e3")
 
 
-@then("the newcomer is ready with the same fleet")
+@then("the new control is ready with the same fleet state")
 def step_ready(context):
     world = context.world
     client = OpsClient(world.rig.loop, world.rig.net, context.ops, KEY)
@@ -172,11 +173,11 @@
     assert len(fleet["members"]) == len(world.state.members)
 
 
-@when("the control is told to stop")
+@when("the control receives SIGTERM")
 def step_stop(context):
     context.world.signal("e1", signal.SIGTERM)
 
 
-@then("it ends with status 0")
+@then("the control ends with status 0")
 def step_status(context):
     assert context.world.controls["e1"].wait(20) == 0
--- a/tests/waves.py
+++ b/tests/waves.py
@@ -1,4 +1,4 @@
-"""A platform, endpoints and controls as processes, with entries in the test."""
+"""A platform, endpoints and controls as processes, with simulated entries."""
 
 import json
 import signal
@@ -21,68 +21,73 @@
 
 
 class FakeEntry:
-    """A member that holds no requests; ``held`` names records it keeps back."""
+    """A member of the fleet that never has requests.
+
+    ``withheld`` is the names of record types that it does not append. While ``silent``
+    it accepts connections but does not answer.
+    """
 
     def __init__(self, rig, name, address, platform):
         self.name = name
         self.address = address
-        self.held = set()
-        self.dead = False
+        self.withheld = set()
+        self.silent = False
         self.steps = []
-        self._sent = set()
+        self._submitted = set()
         self._net = Net(rig.loop)
-        self._server = HttpServer(rig.loop, self._net, self._alive)
+        self._server = HttpServer(rig.loop, self._net, self._answer)
         self._server.listen(*parse_address(address))
         self.follower = Follower(rig.loop, rig.net, platform, self._on_results)
         self.follower.start()
-        rig.loop.call_every(RETRY_S, self._act)
+        rig.loop.call_every(RETRY_S, self._append_due)
 
-    def die(self):
-        """Answer nothing and refuse connections, as an ended process does."""
-        self.dead = True
+    def terminate(self):
+        """Answer nothing and refuse connections, as if the process had ended."""
+        self.silent = True
         self._net.close_listeners()
         self._server.drain()
 
-    def _alive(self, exchange):
-        if not self.dead:
+    def _answer(self, exchange):
+        if not self.silent:
             exchange.respond(plain_response(200, "alive"))
 
     def _on_results(self, results):
         self.steps += [item for item in results if isinstance(item, Step)]
-        self._act()
+        self._append_due()
 
-    def _act(self):
-        if self.dead:
+    def _append_due(self):
+        if self.silent:
             return
         state = self.follower.state
         wanted = [
-            BatchAcked(self.name, 1, x) for x in batches_to_ack(state, self.name, 1)
+            BatchAcked(self.name, 1, offset)
+            for offset in batches_to_ack(state, self.name, 1)
         ]
         wanted += [
-            DrainConfirmed(self.name, 1, x)
-            for x in drains_to_confirm(state, self.name, 1)
+            DrainConfirmed(self.name, 1, offset)
+            for offset in drains_to_confirm(state, self.name, 1)
         ]
         if self.name not in state.members:
             wanted = [MemberJoined(self.name, 1, "z0", self.address)]
         for record in wanted:
-            if type(record).__name__ not in self.held:
+            if type(record).__name__ not in self.withheld:
                 self.submit(record)
 
     def submit(self, record):
-        """Append a record unless its verdict is still awaited."""
-        if record in self._sent:
+        """Append a record unless an earlier submission is pending or succeeded."""
+        if record in self._submitted:
             return
-        self._sent.add(record)
+        self._submitted.add(record)
 
         def settled(verdict):
             if isinstance(verdict, Refusal):
-                self._sent.discard(record)
+                self._submitted.discard(record)
 
         self.follower.submit(record, settled)
 
 
 class World:
-    """The processes and entries of one scenario."""
+    """The processes and simulated entries of one scenario."""
 
     def __init__(self, folder):
         self.rig = Rig()
@@ -99,17 +104,24 @@
 
     def _start_platform(self, entries):
         lines = ["[standin]", f"listen = {self.platform}", "[vms]"]
-        lines += [f"{name} = entry z0 r0 {text}" for name, text in entries.items()]
-        lines += [f"{vm} = endpoint z0 r0 {x}" for vm, x in self.addresses.items()]
-        lines += ["[endpoints]", *(f"{vm} = {x}" for vm, x in self.addresses.items())]
+        lines += [
+            f"{name} = entry z0 r0 {address}" for name, address in entries.items()
+        ]
+        lines += [
+            f"{vm} = endpoint z0 r0 {address}" for vm, address in self.addresses.items()
+        ]
+        lines += [
+            "[endpoints]",
+            *(f"{vm} = {address}" for vm, address in self.addresses.items()),
+        ]
         path = self.folder / "standin.ini"
         path.write_text("\n".join(lines) + "\n")
         start("standin", str(path))
         self.rig.run_until(lambda: listening(self.platform))
-        self.faults(lag_ms=100, reboot_ms=200)
+        self.set_faults(lag_ms=100, reboot_ms=200)
 
-    def faults(self, **values):
-        """Set faults of the platform and return its counts."""
+    def set_faults(self, **values):
+        """Set faults of the simulated platform and return its counts."""
         return json.loads(http(self.platform, "/faults", values)[2])
 
     def start_control(self, name, snapshot_s=600):
@@ -138,20 +150,20 @@
         return self.entries[0].follower.state
 
     def roll(self, round_=1):
-        """Put the first bundle, with a wave over pool a, in force."""
+        """Roll a bundle with a wave and wait until it is in force."""
         bundle = parse_bundle(bundle_text(self.addresses, round_))
         for record in rollout(bundle):
             self.entries[0].submit(record)
         self.rig.run_until(lambda: self.state.bundle is not None)
 
-    def until_phase(self, phase):
-        """Run until a VM is in a phase."""
+    def run_until_phase(self, phase):
+        """Run until any VM is in a phase."""
         self.rig.run_until(
             lambda: any(vm.phase == phase for vm in self.state.vms.values())
         )
 
     def wave_done(self):
-        """Return whether every VM of the wave was rebooted and serves."""
+        """Return whether every VM of the wave was rebooted and no batch is open."""
         state = self.state
         if state.bundle is None or state.batches:
             return False
@@ -160,28 +172,32 @@
         return all(vm.round_done("w") == 1 for vm in vms)
 
     def logged(self, cls):
-        """Return the Logged of a record class that the fold took."""
+        """Return the Logged of all records of a class that the fold accepted."""
         return [
             step.logged
             for step in self.entries[0].steps
             if isinstance(step.logged.record, cls) and step.refusal is None
         ]
 
-    def reboots(self):
-        """Return how often each VM was rebooted, as its endpoint counted."""
+    def reboot_counts(self):
+        """Return {VM: number of reboots}, as counted by its endpoint."""
         counts = {}
         for vm, address in self.addresses.items():
             page = json.loads(http(address, "/__runs")[2])
             counts[vm] = page["reboots"]
         return counts
 
-    def most_out(self):
-        """Return the most VMs of a pool that were out at once, by the fold."""
+    def max_vms_out(self):
+        """Return the highest number of VMs of one pool that were out at once."""
         return max(
-            (_out(step.state, pool) for step in self.entries[0].steps for pool in "ab"),
+            (
+                _vms_out(step.state, pool)
+                for step in self.entries[0].steps
+                for pool in "ab"
+            ),
             default=0,
         )
 
 
-def _out(state, pool):
+def _vms_out(state, pool):
     return sum(not vm.active for vm in state.vms.pool(pool).values())
