--- a/src/cardamomgrade/wave.py
+++ b/src/cardamomgrade/wave.py
@@ -50,8 +50,8 @@
 
     def __str__(self):
         reason = f" ({self.reason.value})" if self.reason else ""
-        place = f"pool {self.pool}: " if self.pool else ""
-        return f"{place}{self.action}{reason}: {self.detail}"
+        prefix = f"pool {self.pool}: " if self.pool else ""
+        return f"{prefix}{self.action}{reason}: {self.detail}"
 
 
 @attrs.frozen
--- a/tests/steps/control.py
+++ b/tests/steps/control.py
@@ -208,11 +208,15 @@
         (replica(1, 44), kept, 0, 1.0, True),
         (replica(1, 46), kept, 0, 1.0, False),
     )
-    for seen, log, place, now, expected in cases:
+    for seen, log, own_rank, now, expected in cases:
         retention = Retention(interval_s=60, records=10)
-        retention.due(replica(0, seen.snapshot_offset), status, place, 0.0)
-        assert retention.due(seen, log, place, now) == expected, (seen, log, place)
-        assert not retention.due(seen, log, place, now + 0.1), "written twice"
+        retention.due(replica(0, seen.snapshot_offset), status, own_rank, 0.0)
+        assert retention.due(seen, log, own_rank, now) == expected, (
+            seen,
+            log,
+            own_rank,
+        )
+        assert not retention.due(seen, log, own_rank, now + 0.1), "written twice"
     retention = Retention(interval_s=60, records=10)
     assert not retention.due(replica(10), status, 1, 0.0)
     assert retention.due(replica(10), status, 1, RANK_DELAY_S)
@@ -225,9 +229,9 @@
     @FIXED
     @given(st.integers(1, len(logged)), st.integers(0, 3))
     def check(cut, kept):
-        whole, restored = Replica(), Replica()
-        whole.take(logged[:cut])
-        parts = snapshot_records(whole.state)
+        original, restored = Replica(), Replica()
+        original.take(logged[:cut])
+        parts = snapshot_records(original.state)
         tail = [
             Logged(cut + index, logged[cut - 1].time_ms, part)
             for index, part in enumerate(parts)
@@ -239,10 +243,10 @@
         ]
         earliest = max(0, cut - kept)
         restored.lost(earliest)
-        whole.take([*tail, *rest])
+        original.take([*tail, *rest])
         results = restored.take([*logged[earliest:cut], *tail, *rest])
         assert isinstance(results[0], Restored)
-        assert restored.state == whole.state
+        assert restored.state == original.state
 
     check()
 
@@ -250,9 +254,9 @@
 @then("snapshots that are damaged, incomplete or older than the state are skipped")
 def step_bad_snapshots(context):
     logged = fleet_log().logged
-    whole = Replica()
-    whole.take(logged)
-    part = snapshot_records(whole.state)[0]
+    original = Replica()
+    original.take(logged)
+    part = snapshot_records(original.state)[0]
     end = len(logged)
     for bad in (
         attrs.evolve(part, data=part.data[:-1]),
--- a/tests/steps/whole.py
+++ b/tests/steps/whole.py
@@ -1,4 +1,4 @@
-"""Steps for the whole system under failure."""
+"""Steps for the whole system with failures."""
 
 import signal
 import tempfile
@@ -7,11 +7,11 @@
 
 from system import WAVE_LIMIT_S, Whole
 
-FREEZE_S = 7.0
+OUTAGE_S = 7.0
 
 
 def nothing(world):
-    """Let everything run."""
+    """Inject no failure."""
 
 
 def replace_entry(world):
@@ -19,20 +19,20 @@
     world.later(5.0, lambda: world.start_entry("e2"))
 
 
-def freeze_entry(world):
+def suspend_entry(world):
     world.later(3.0, lambda: world.signal("entry-e2", signal.SIGSTOP))
-    world.later(3.0 + FREEZE_S, lambda: world.signal("entry-e2", signal.SIGCONT))
+    world.later(3.0 + OUTAGE_S, lambda: world.signal("entry-e2", signal.SIGCONT))
 
 
 def stop_log(world):
     world.later(3.0, lambda: world.faults(log="down"))
-    world.later(3.0 + FREEZE_S, lambda: world.faults(log="up"))
+    world.later(3.0 + OUTAGE_S, lambda: world.faults(log="up"))
 
 
 def fail_controls(world):
     world.later(2.0, lambda: world.signal("control-e1", signal.SIGKILL))
     world.later(2.5, lambda: world.signal("control-e2", signal.SIGSTOP))
-    world.later(2.5 + FREEZE_S, lambda: world.signal("control-e2", signal.SIGCONT))
+    world.later(2.5 + OUTAGE_S, lambda: world.signal("control-e2", signal.SIGCONT))
 
 
 def lose_answers(world):
@@ -42,35 +42,35 @@
 
 def fail_rack(world):
     world.later(3.0, lambda: world.signal("rack-2", signal.SIGKILL))
-    world.later(3.0 + FREEZE_S, lambda: world.start_rack(2))
+    world.later(3.0 + OUTAGE_S, lambda: world.start_rack(2))
 
 
-def stop_log_and_replace(world):
+def stop_log_and_replace_entry(world):
     stop_log(world)
     world.later(4.0, lambda: world.signal("entry-e2", signal.SIGKILL))
     world.later(5.0, lambda: world.start_entry("e2"))
 
 
-def fail_rack_and_freeze(world):
+def fail_rack_and_suspend_entry(world):
     fail_rack(world)
-    freeze_entry(world)
+    suspend_entry(world)
 
 
 FAILURES = {
     "nothing fails": nothing,
     "an entry is killed and replaced": replace_entry,
-    "an entry freezes for longer than its lease": freeze_entry,
+    "an entry is suspended for longer than its lease": suspend_entry,
     "the log is down for longer than a lease": stop_log,
-    "a control is killed and another one freezes": fail_controls,
-    "answers of the log are lost and the list lags more": lose_answers,
-    "a rack fails and comes back": fail_rack,
-    "the log is down and an entry is replaced meanwhile": stop_log_and_replace,
-    "a rack fails while an entry freezes": fail_rack_and_freeze,
+    "a control is killed and another one is suspended": fail_controls,
+    "append answers are lost and the VM list lags more": lose_answers,
+    "a rack fails and recovers": fail_rack,
+    "an entry is replaced while the log is down": stop_log_and_replace_entry,
+    "a rack fails while an entry is suspended": fail_rack_and_suspend_entry,
 }
 
 
 @given("the whole system serves two pools on three entries")
-def step_whole(context):
+def step_system(context):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.world = Whole(folder.name)
@@ -83,8 +83,10 @@
     context.world.run_load()
 
 
-@then("no request was cut, run twice, answered wrongly or told not run when it ran")
-def step_safe(context):
+@then(
+    "no request was cut off, run twice, answered wrongly or falsely reported as not run"
+)
+def step_requests_correct(context):
     found = context.world.report
     broken = (found.cut, found.run_twice, found.wrong, found.not_run_but_ran)
     assert broken == (0, 0, 0, 0), found
@@ -103,6 +105,6 @@
     print(found)
 
 
-@then("the wave ends with each VM rebooted")
+@then("the wave completes with each VM rebooted")
 def step_wave_done(context):
     context.world.rig.run_until(context.world.wave_done, WAVE_LIMIT_S)
