--- a/scripts/bench_placement.py
+++ b/scripts/bench_placement.py
@@ -1,7 +1,7 @@
-"""Measures placement against first fit by declared sizes, and its cost by size.
+"""Compares the placer with first fit by declared sizes, and measures its cost.
 
-Usage: bench_placement.py [simulated seconds]; prints JSON. Times of the simulation
-are simulated, the costs of events are processor seconds of one process.
+Usage: bench_placement.py [simulated seconds]; prints JSON. Times of the comparison are
+simulated; costs per event are CPU time of one process, at several fleet sizes.
 """
 
 import itertools
@@ -15,17 +15,17 @@
 import attrs
 from fleet_simulation import Simulation, task_spec
 
-from cardamomgrade.holdings import Quota
+from cardamomgrade.allocations import Quota
 from cardamomgrade.placement import Placer
 from cardamomgrade.records import Logged, TaskEnded, TaskPlaced
 from cardamomgrade.room import Worker
 from cardamomgrade.tasks import TaskState
 
 SEED = 11
-LETTER_WORKERS = 6600
-LETTER_ACCELERATORS = 7800
-LETTER_POOLS = 319
-LETTER_TEAMS = 350
+FLEET_WORKERS = 6600
+FLEET_ACCELERATORS = 7800
+FLEET_POOLS = 319
+FLEET_TEAMS = 350
 WORKER_ACCELERATORS = 8
 RACK_WORKERS = 4
 SCALES = (1 / 16, 1 / 4, 1)
@@ -33,19 +33,22 @@
 LOADS = (0.8, 1.3)
 TASKS_PER_WORKER = 4
 EVENTS = 2000
-SCAN_TASKS = 200
+SCANNED_TASKS_MAX = 200
 LEASE_MS = 300_000
 
 
 def build_workers(scale):
-    """Return the letter's workers times ``scale``; some pools have accelerators."""
-    count = round(LETTER_WORKERS * scale)
-    pools = max(1, round(LETTER_POOLS * scale))
-    accelerated = round(LETTER_ACCELERATORS * scale / WORKER_ACCELERATORS)
+    """Return the workers of a fleet of ``scale`` times the full size.
+
+    The workers of the first pools have accelerators.
+    """
+    count = round(FLEET_WORKERS * scale)
+    pools = max(1, round(FLEET_POOLS * scale))
+    accelerated_workers = round(FLEET_ACCELERATORS * scale / WORKER_ACCELERATORS)
     workers = []
     for number in range(count):
         pool = number * pools // count
-        accelerators = WORKER_ACCELERATORS if number < accelerated else 0
+        accelerators = WORKER_ACCELERATORS if number < accelerated_workers else 0
         large = bool(accelerators) or pool % 2
         workers.append(
             Worker(
@@ -62,14 +65,14 @@
 
 
 @attrs.frozen
-class Sent:
-    """A placement of the baseline, shaped like the placer's TaskSent."""
+class BaselinePlacement:
+    """A placement of the baseline, with the ``record`` of a TaskSent."""
 
     record: TaskPlaced
 
 
 class FirstFit:
-    """The baseline: urgent first, then in order, by declared sizes, no preemption."""
+    """Baseline: first fit by declared sizes, urgent tasks first, no preemption."""
 
     def __init__(self, workers):
         self.state = TaskState()
@@ -82,13 +85,13 @@
             for item in workers
         }
         self._queues = {}
-        self._sending = set()
+        self._pending = set()
 
     def report(self, usage):
-        """Ignore usage."""
+        """Ignore usage reports."""
 
     def fold(self, logged):
-        """Apply a record and keep the free room by declared sizes."""
+        """Apply a record and update the free capacity by declared sizes."""
         change = self.state.fold(logged)
         if not change:
             return change
@@ -96,19 +99,19 @@
             queue = self._queues.setdefault(change.after.spec.pool, ([], []))
             queue[not change.after.spec.urgent].append(change.after.spec.task)
         if isinstance(logged.record, TaskPlaced):
-            self._sending.discard(logged.record.task)
+            self._pending.discard(logged.record.task)
         if change.freed:
-            self._shift(change.freed, change.before.spec, 1)
+            self._adjust(change.freed, change.before.spec, 1)
         return change
 
-    def _shift(self, worker, spec, sign):
+    def _adjust(self, worker, spec, sign):
         free = self._free[worker]
         sizes = (spec.cores, spec.memory_mb, spec.accelerators)
         for index, size in enumerate(sizes):
             free[index] += sign * size
 
     def decide(self, now_ms):
-        """Return the placements that fit now, one worker at a time per round."""
+        """Return the placements that fit now, at most one per worker in a call."""
         items = []
         for pool, queues in self._queues.items():
             busy = set()
@@ -118,32 +121,32 @@
 
     def _decide_queue(self, pool, queue, busy, items):
         kept = []
-        for name in queue[:SCAN_TASKS]:
+        for name in queue[:SCANNED_TASKS_MAX]:
             task = self.state.tasks.get(name)
-            if task is None or task.live or name in self._sending:
+            if task is None or task.live or name in self._pending:
                 continue
             worker = self._first_fit(pool, task.spec, busy)
             if worker is None:
                 kept.append(name)
                 continue
             busy.add(worker)
-            self._sending.add(name)
-            self._shift(worker, task.spec, -1)
-            items.append(Sent(self._record(task, worker)))
-        queue[:SCAN_TASKS] = kept
+            self._pending.add(name)
+            self._adjust(worker, task.spec, -1)
+            items.append(BaselinePlacement(self._record(task, worker)))
+        queue[:SCANNED_TASKS_MAX] = kept
 
     def _first_fit(self, pool, spec, busy):
         wanted = (spec.cores, spec.memory_mb, spec.accelerators)
         for item in self._pools[pool]:
             free = self._free[item.name]
             if item.name not in busy and all(
-                size <= room for size, room in zip(wanted, free, strict=True)
+                size <= available for size, available in zip(wanted, free, strict=True)
             ):
                 return item.name
         return None
 
     def _record(self, task, worker):
-        spec, seen = task.spec, self.state.next_offset - 1
+        spec, last_offset = task.spec, self.state.next_offset - 1
         return TaskPlaced(
             spec.task,
             worker,
@@ -151,30 +154,30 @@
             LEASE_MS,
             float(spec.cores),
             spec.memory_mb,
-            seen,
+            last_offset,
             "c",
         )
 
 
-def our_placer(workers):
-    """Return a Placer that knows the workers and a quota for each team."""
+def build_placer(workers):
+    """Return a Placer with the workers and a quota for each team."""
     placer = Placer("c")
     placer.set_workers(workers)
     cores = sum(item.cores for item in workers)
-    teams = {f"team{number}" for number in range(LETTER_TEAMS)}
+    teams = {f"team{number}" for number in range(FLEET_TEAMS)}
     placer.set_quotas(
-        [Quota(team, cores / 4, LETTER_ACCELERATORS) for team in sorted(teams)]
+        [Quota(team, cores / 4, FLEET_ACCELERATORS) for team in sorted(teams)]
     )
     return placer
 
 
 def compare(load, seconds):
-    """Return the results of ours and of first fit on the same arrivals."""
+    """Return the results of the placer and of first fit for the same arrivals."""
     workers = build_workers(SCALES[0])
-    teams = round(LETTER_TEAMS * SCALES[0])
+    teams = round(FLEET_TEAMS * SCALES[0])
     results = {}
     for name, placer in (
-        ("ours", our_placer(workers)),
+        ("ours", build_placer(workers)),
         ("first_fit", FirstFit(workers)),
     ):
         simulation = Simulation(workers, teams, load, SEED, placer)
@@ -182,11 +185,11 @@
     return results
 
 
-class Filled:
-    """A placer whose workers run tasks, and the log that led there."""
+class LoadedPlacer:
+    """A placer whose workers run tasks; records are folded as if read from a log."""
 
     def __init__(self, workers, rng):
-        self.placer = our_placer(workers)
+        self.placer = build_placer(workers)
         self._workers = workers
         self._rng = rng
         self._numbers = itertools.count()
@@ -200,14 +203,14 @@
         self.placer.fold(Logged(offset, self.now_ms, record))
 
     def submit(self):
-        """Submit a task to a pool at random."""
+        """Submit a task to the pool of a random worker."""
         pool = self._rng.choice(self._workers).pool
-        team = f"team{self._rng.randrange(LETTER_TEAMS)}"
+        team = f"team{self._rng.randrange(FLEET_TEAMS)}"
         name = f"task-{next(self._numbers)}"
         self.fold(task_spec(name, team, pool, self._rng.uniform(0.5, 3), 2000))
 
     def settle(self):
-        """Decide and read back what was appended."""
+        """Decide, and fold the decided records."""
         items = self.placer.decide(self.now_ms).items
         self.decisions += len(items)
         for item in items:
@@ -216,51 +219,51 @@
                 self._live.append(item.record.task)
 
     def end_one(self):
-        """End a live task taken in the order of their starts."""
+        """End the live task that started first."""
         name = self._live.popleft()
         task = self.placer.state.tasks[name]
         self.fold(TaskEnded(name, task.attempt, "done", "w"))
 
 
 def measure_cost(scale):
-    """Return the bytes and the seconds of events with the fleet times ``scale``."""
+    """Return the memory and the CPU time per event of a fleet scaled by ``scale``."""
     workers = build_workers(scale)
     tracemalloc.start()
-    filled = Filled(workers, random.Random(SEED))
+    loaded = LoadedPlacer(workers, random.Random(SEED))
     for _ in range(TASKS_PER_WORKER * len(workers)):
-        filled.submit()
-    while filled.placer.state.tasks and filled.decisions < 10**6:
-        before = filled.decisions
-        filled.settle()
-        if filled.decisions == before:
+        loaded.submit()
+    while loaded.placer.state.tasks and loaded.decisions < 10**6:
+        before = loaded.decisions
+        loaded.settle()
+        if loaded.decisions == before:
             break
-    live = sum(task.live for task in filled.placer.state.tasks.values())
+    live = sum(task.live for task in loaded.placer.state.tasks.values())
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    spent, before = [], filled.decisions
+    event_s, before = [], loaded.decisions
     for _ in range(EVENTS):
-        begun = time.process_time()
-        filled.end_one()
-        filled.submit()
-        filled.settle()
-        spent.append(time.process_time() - begun)
-    decisions = filled.decisions - before
-    spent.sort()
+        started = time.process_time()
+        loaded.end_one()
+        loaded.submit()
+        loaded.settle()
+        event_s.append(time.process_time() - started)
+    decisions = loaded.decisions - before
+    event_s.sort()
     return {
         "scale": scale,
         "workers": len(workers),
         "live_tasks": live,
         "bytes": size,
         "bytes_per_live_task": round(size / max(1, live)),
-        "event_us_mean": round(sum(spent) / EVENTS * 1e6),
-        "event_us_p99": round(spent[int(EVENTS * 0.99)] * 1e6),
+        "event_us_mean": round(sum(event_s) / EVENTS * 1e6),
+        "event_us_p99": round(event_s[int(EVENTS * 0.99)] * 1e6),
         "decisions": decisions,
-        "decision_us": round(sum(spent) / max(1, decisions) * 1e6),
+        "decision_us": round(sum(event_s) / max(1, decisions) * 1e6),
     }
 
 
 def main():
-    """Run the comparison and the costs and print them."""
+    """Run the comparison and the cost measurements and print the results."""
     seconds = int(sys.argv[1]) if len(sys.argv) > 1 else SIMULATED_S
     report = {
         "seed": SEED,
--- a/src/cardamomgrade/estimate.py
+++ b/src/cardamomgrade/estimate.py
@@ -1,16 +1,17 @@
-"""Estimates of what a task uses, from lagging reports on tasks of its team and pool.
+"""Estimates the resource use of tasks from usage reports of earlier tasks.
 
-Declared sizes are far off, but off alike for the tasks of one team in one pool. The
-ratio of peak to declared use over its last tasks, at a quantile and with a margin,
-corrects the next declaration. Accelerators are whole and are taken as declared.
+Declared sizes are inaccurate, but by a similar factor for all tasks of one team in one
+pool. The ratio of peak to declared use of the team's last tasks in the pool, at a
+quantile and with a margin, corrects the next declaration. Accelerators are allocated
+whole, as declared. Usage reports arrive with a delay.
 """
 
 from collections import OrderedDict
 
 import attrs
 
-HISTORY_TASKS = 32
-HISTORY_CLASSES = 4096
+HISTORY_TASKS_MAX = 32
+HISTORIES_MAX = 4096
 SAMPLES_MIN = 4
 CORES_QUANTILE = 0.75
 MEMORY_QUANTILE = 0.95
@@ -22,7 +23,7 @@
 
 @attrs.frozen
 class Usage:
-    """What a worker reports of a task; it lags by seconds."""
+    """Resource use of a task as reported by its worker, some seconds late."""
 
     task: str
     cores: float
@@ -32,14 +33,14 @@
 
 @attrs.frozen
 class Size:
-    """Room in cores, MB and whole accelerators."""
+    """An amount of capacity: cores, MB of memory and whole accelerators."""
 
     cores: float
     memory_mb: float
     accelerators: int
 
     def fits(self, other):
-        """Return whether this size fits into ``other``."""
+        """Return whether this size is no larger than ``other`` in any resource."""
         return (
             self.cores <= other.cores
             and self.memory_mb <= other.memory_mb
@@ -47,7 +48,7 @@
         )
 
     def at_least(self, other):
-        """Return this size with no less cores and memory than ``other``."""
+        """Return this size with at least the cores and memory of ``other``."""
         return Size(
             max(self.cores, other.cores),
             max(self.memory_mb, other.memory_mb),
@@ -55,7 +56,7 @@
         )
 
     def at_most(self, other):
-        """Return this size with no more cores and memory than ``other``."""
+        """Return this size with at most the cores and memory of ``other``."""
         return Size(
             min(self.cores, other.cores),
             min(self.memory_mb, other.memory_mb),
@@ -64,7 +65,7 @@
 
 
 def declared_size(spec):
-    """Return the Size that a TaskSubmitted declares, at least the smallest."""
+    """Return the Size that a TaskSubmitted declares, raised to the minimum."""
     return Size(
         max(spec.cores, CORES_MIN),
         max(spec.memory_mb, MEMORY_MIN_MB),
@@ -72,13 +73,13 @@
     )
 
 
-def _quantile(values, share):
+def _quantile(values, fraction):
     ordered = sorted(values)
-    return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
+    return ordered[min(len(ordered) - 1, int(fraction * len(ordered)))]
 
 
-class _History:
-    """Peak ratios of the last tasks of one team in one pool."""
+class _UsageHistory:
+    """Ratios of peak to declared use of the last tasks of one team in one pool."""
 
     __slots__ = ("_peaks", "_ratios")
 
@@ -94,11 +95,11 @@
             cores, memory = max(old[0], cores), max(old[1], memory)
         self._peaks[task] = (cores, memory)
         self._ratios = None
-        if len(self._peaks) > HISTORY_TASKS:
+        if len(self._peaks) > HISTORY_TASKS_MAX:
             self._peaks.popitem(last=False)
 
     def ratios(self):
-        """Return the cores and memory ratios, or None with too few samples."""
+        """Return the (cores, memory) ratios, or None with too few samples."""
         if len(self._peaks) < SAMPLES_MIN:
             return None
         if self._ratios is None:
@@ -111,20 +112,20 @@
 
 
 class Estimator:
-    """Learns from usage reports; holds a bounded number of teams and pools."""
+    """Estimates task sizes per team and pool, for at most HISTORIES_MAX of them."""
 
     def __init__(self, margin=MARGIN):
         self._margin = margin
-        self._classes = OrderedDict()
+        self._histories = OrderedDict()
 
     def report(self, spec, usage):
-        """Take a Usage of the task with the TaskSubmitted ``spec``."""
+        """Record a Usage of the task with the TaskSubmitted ``spec``."""
         key = (spec.team, spec.pool)
-        history = self._classes.get(key)
+        history = self._histories.get(key)
         if history is None:
-            history = self._classes[key] = _History()
-            if len(self._classes) > HISTORY_CLASSES:
-                self._classes.popitem(last=False)
+            history = self._histories[key] = _UsageHistory()
+            if len(self._histories) > HISTORIES_MAX:
+                self._histories.popitem(last=False)
         declared = declared_size(spec)
         history.add(
             spec.task,
@@ -132,10 +133,10 @@
             usage.memory_mb / declared.memory_mb,
         )
 
-    def size(self, spec, failures=0):
-        """Return the Size to hold for a task; memory grows with its failures."""
+    def estimate(self, spec, failures=0):
+        """Return the Size to allocate to a task; memory grows with its failures."""
         declared = declared_size(spec)
-        history = self._classes.get((spec.team, spec.pool))
+        history = self._histories.get((spec.team, spec.pool))
         ratios = history.ratios() if history is not None else None
         growth = RETRY_GROWTH**failures
         if ratios is None:
@@ -149,8 +150,8 @@
             declared.accelerators,
         )
 
-    def held(self, usage, size):
-        """Return the Size that a running task of ``size`` turns out to need."""
+    def needed_size(self, usage, size):
+        """Return the Size needed by a running task: its Usage plus the margin."""
         return Size(
             max(usage.cores * self._margin, CORES_MIN),
             max(usage.memory_mb * self._margin, MEMORY_MIN_MB),
--- a/src/cardamomgrade/health.py
+++ b/src/cardamomgrade/health.py
@@ -1,7 +1,8 @@
-"""Tells a worker that fails everything from a task that fails everywhere.
+"""Distinguishes faulty workers, on which all tasks fail, from faulty tasks.
 
-A worker is set aside when several distinct tasks in a row failed on it, for at most
-a share of its pool's workers, and is tried again after a delay that doubles.
+A worker is set aside, which means that it gets no tasks, when several distinct tasks
+in a row failed on it. Only a fraction of a pool's workers may be set aside at once. A
+worker is tried again after a delay, which doubles each time it is set aside.
 """
 
 import heapq
@@ -9,16 +10,16 @@
 import attrs
 
 STREAK_LIMIT_TASKS = 3
-SUSPECT_TASKS = 2
+FAULTY_WORKER_TASKS_MIN = 2  # distinct failed tasks that make a worker suspect
 ASIDE_SHARE = 0.1
 ASIDE_MIN_MS = 60_000
 ASIDE_MAX_MS = 3_600_000
-FAILED_WORKERS = 3
-FAILED_WORKERS_MAX = 6
+TASK_FAULT_SOUND_WORKERS = 3
+TASK_FAULT_WORKERS_MAX = 6
 
 
 @attrs.define
-class _Record:
+class _FailureStreak:
     pool: str
     delay_ms: int
     tasks: dict = attrs.field(factory=dict)
@@ -26,10 +27,11 @@
 
 
 class Health:
-    """Failures in a row of each worker that has any.
+    """Consecutive failures of each worker, and the workers that are set aside.
 
-    ``streak_limit`` distinct tasks in a row set a worker aside, for ``aside_min_ms``
-    at first and ``aside_max_ms`` at most, and at most ``aside_share`` of a pool.
+    A worker is set aside after ``streak_limit`` distinct tasks in a row failed on it,
+    for ``aside_min_ms`` at first and ``aside_max_ms`` at most. At most the fraction
+    ``aside_share`` of a pool, but at least one worker, is set aside at once.
     """
 
     def __init__(
@@ -43,65 +45,76 @@
         self._aside_min_ms = aside_min_ms
         self._aside_max_ms = aside_max_ms
         self._aside_share = aside_share
-        self._records = {}
+        self._streaks = {}
         self._aside = {}
         self._due = []
 
     def failed(self, worker, pool, task, pool_workers, now_ms):
-        """Count a failed task; return when to try the worker again, or None.
+        """Count a failed task; return when to try its worker again in ms, or None.
 
-        A time in ms means that the worker is set aside from now on.
+        A returned time means that the worker is set aside from now on.
         """
-        record = self._records.setdefault(worker, _Record(pool, self._aside_min_ms))
-        record.tasks[task] = True
-        if record.aside or len(record.tasks) < self._streak_limit:
+        streak = self._streaks.setdefault(
+            worker, _FailureStreak(pool, self._aside_min_ms)
+        )
+        streak.tasks[task] = True
+        if streak.aside or len(streak.tasks) < self._streak_limit:
             return None
         if self._aside.get(pool, 0) >= max(1, int(pool_workers * self._aside_share)):
             return None
-        record.aside = True
+        streak.aside = True
         self._aside[pool] = self._aside.get(pool, 0) + 1
-        until_ms = now_ms + record.delay_ms
-        record.delay_ms = min(record.delay_ms * 2, self._aside_max_ms)
+        until_ms = now_ms + streak.delay_ms
+        streak.delay_ms = min(streak.delay_ms * 2, self._aside_max_ms)
         heapq.heappush(self._due, (until_ms, worker))
         return until_ms
 
     def succeeded(self, worker):
-        """Forget the failures of a worker on which a task was done."""
-        record = self._records.get(worker)
-        if record is not None and not record.aside:
-            del self._records[worker]
+        """Clear the failures of a worker that completed a task, unless set aside."""
+        streak = self._streaks.get(worker)
+        if streak is not None and not streak.aside:
+            del self._streaks[worker]
 
     def absolve(self, worker, task):
-        """Forget a failure that turned out to be the task's own."""
-        record = self._records.get(worker)
-        if record is not None:
-            record.tasks.pop(task, None)
+        """Remove a worker's failure that was caused by the task itself."""
+        streak = self._streaks.get(worker)
+        if streak is not None:
+            streak.tasks.pop(task, None)
 
     def streak(self, worker):
-        """Return how many distinct tasks failed in a row on a worker."""
-        record = self._records.get(worker)
-        return len(record.tasks) if record is not None else 0
+        """Return the number of distinct tasks that failed in a row on a worker."""
+        streak = self._streaks.get(worker)
+        return len(streak.tasks) if streak is not None else 0
 
     def is_aside(self, worker):
         """Return whether a worker is set aside."""
-        record = self._records.get(worker)
-        return record is not None and record.aside
+        streak = self._streaks.get(worker)
+        return streak is not None and streak.aside
 
     def due(self, now_ms):
-        """Return the workers to try again, each once; one failure sends it back."""
+        """Return the workers to try again from now on, each once.
+
+        One more failure of such a worker sets it aside again.
+        """
         workers = []
         while self._due and self._due[0][0] <= now_ms:
             worker = heapq.heappop(self._due)[1]
-            record = self._records[worker]
-            record.aside = False
-            self._aside[record.pool] -= 1
-            kept = list(record.tasks)[: self._streak_limit - 1]
-            record.tasks = dict.fromkeys(kept, True)
+            streak = self._streaks[worker]
+            streak.aside = False
+            self._aside[streak.pool] -= 1
+            kept = list(streak.tasks)[: self._streak_limit - 1]
+            streak.tasks = dict.fromkeys(kept, True)
             workers.append(worker)
         return workers
 
     def is_task_at_fault(self, failed_on, pool_workers):
-        """Return whether a task failed on enough workers that run other tasks."""
-        sound = [name for name in failed_on if self.streak(name) < SUSPECT_TASKS]
-        wanted = min(FAILED_WORKERS, max(1, pool_workers))
-        return len(sound) >= wanted or len(failed_on) >= FAILED_WORKERS_MAX
+        """Return whether a task, not its workers, caused the failures.
+
+        It did when it failed on TASK_FAULT_SOUND_WORKERS workers (or all of a smaller
+        pool) with few other failures, or on TASK_FAULT_WORKERS_MAX workers of any kind.
+        """
+        sound = [
+            name for name in failed_on if self.streak(name) < FAULTY_WORKER_TASKS_MIN
+        ]
+        needed = min(TASK_FAULT_SOUND_WORKERS, max(1, pool_workers))
+        return len(sound) >= needed or len(failed_on) >= TASK_FAULT_WORKERS_MAX
--- a/src/cardamomgrade/orders.py
+++ b/src/cardamomgrade/orders.py
@@ -1,6 +1,6 @@
-"""Decisions of placement, each of which is also a numbered log event.
+"""Decisions of the placer, each of which is also a numbered log event.
 
-``refused`` counts the workers of the pool that were passed over, by Obstacle.
+``refused`` holds a SkippedCount of workers of the pool for each Obstacle.
 """
 
 from enum import Enum, unique
@@ -12,7 +12,7 @@
 
 @unique
 class Obstacle(Enum):
-    """Why a worker was passed over, or why a task waits."""
+    """Why a worker was skipped, or why a task waits."""
 
     ACCELERATORS = "too few accelerators free"
     CORES = "too few cores free"
@@ -28,7 +28,7 @@
 
 @unique
 class Action(Enum):
-    """What a worker is asked to do to a running task, mildest first."""
+    """What a worker is requested to do with a running task, mildest first."""
 
     RESUME = "resume"
     THROTTLE = "throttle"
@@ -37,8 +37,8 @@
 
 
 @attrs.frozen
-class Passed:
-    """How many workers were passed over for one obstacle."""
+class SkippedCount:
+    """The number of workers skipped because of one obstacle."""
 
     obstacle: Obstacle
     workers: int
@@ -49,7 +49,7 @@
 
 @event(500)
 class TaskSent:
-    """A task is to be placed on a worker: append ``record``."""
+    """A task was assigned to a worker; ``record`` is to be appended."""
 
     record: object
     rack: str
@@ -59,7 +59,7 @@
 
 @event(501)
 class TaskHopeless:
-    """A task can never run in its pool: append ``record``."""
+    """A task can never run in its pool; ``record`` is to be appended."""
 
     record: object
     reason: str
@@ -67,7 +67,7 @@
 
 @event(502)
 class LeaseLapsed:
-    """A lease and its margin are over: append ``record``."""
+    """A task's lease and its margin have expired; ``record`` is to be appended."""
 
     record: object
     worker: str
@@ -75,7 +75,10 @@
 
 @event(503)
 class TaskCurbed:
-    """Ask a worker for an action on a task, for the sake of an urgent one."""
+    """A worker is to apply an action to a task that an urgent task preempts.
+
+    ``urgent`` is the urgent task; it is empty for a resume.
+    """
 
     task: str
     attempt: int
@@ -87,7 +90,7 @@
 
 @event(504)
 class TaskWaits:
-    """A task waits; logged when its obstacle changes."""
+    """A task cannot be placed yet; logged when its main obstacle changes."""
 
     task: str
     pool: str
@@ -97,7 +100,7 @@
 
 @event(505)
 class WorkerSetAside:
-    """A worker that failed several tasks gets none until ``until_ms``."""
+    """A worker that failed several tasks gets none until the log time ``until_ms``."""
 
     worker: str
     pool: str
@@ -107,7 +110,7 @@
 
 @event(506)
 class WorkerTried:
-    """A worker that was set aside gets a task again."""
+    """A worker that was set aside may get tasks again."""
 
     worker: str
     pool: str
@@ -115,7 +118,7 @@
 
 @attrs.frozen
 class Decisions:
-    """What one call of ``Placer.decide`` decided, in order."""
+    """The decisions of one call of ``Placer.decide``, in order."""
 
     items: tuple = attrs.field(converter=tuple)
 
--- a/src/cardamomgrade/preempt.py
+++ b/src/cardamomgrade/preempt.py
@@ -1,4 +1,4 @@
-"""Chooses the lesser work that gives way to an urgent task on one worker."""
+"""Chooses the non-urgent tasks to preempt on one worker for an urgent task."""
 
 import attrs
 
@@ -7,88 +7,103 @@
 
 URGENT_START_MS = 2100
 STOP_ALLOWANCE_MS = 900
-CLAIM_LIMIT_MS = 5000
+RESERVATION_TIMEOUT_MS = 5000
 CHECKPOINT_MB_PER_MS = 4
-THROTTLE_SHARE = 0.25
+THROTTLED_CORES_FRACTION = 0.25
 WORKERS_EXAMINED = 16
 _ORDER = (Action.THROTTLE, Action.CHECKPOINT, Action.STOP)
 
 
 @attrs.frozen
-class Yielding:
-    """The holds of one worker that give way, and by which Action."""
+class Preemption:
+    """The allocations of one worker to preempt, and the Action for it."""
 
-    room: object
+    capacity: object
     action: Action
-    holds: tuple
+    allocations: tuple
 
     @property
     def cost(self):
-        """Milder actions first, then less memory and time lost."""
-        lost = sum(hold.size.memory_mb for hold in self.holds)
-        return (_ORDER.index(self.action), len(self.holds), lost)
+        """Sort key: milder action, then fewer tasks, then less memory."""
+        memory_mb = sum(allocation.size.memory_mb for allocation in self.allocations)
+        return (_ORDER.index(self.action), len(self.allocations), memory_mb)
 
 
 def throttled_size(size):
-    """Return the Size of a task that was throttled."""
-    return Size(size.cores * THROTTLE_SHARE, size.memory_mb, size.accelerators)
+    """Return the Size of a task after throttling it."""
+    return Size(
+        size.cores * THROTTLED_CORES_FRACTION, size.memory_mb, size.accelerators
+    )
 
 
 def full_size(size):
-    """Return the Size that a throttled task had before."""
-    return Size(size.cores / THROTTLE_SHARE, size.memory_mb, size.accelerators)
+    """Return the Size that a throttled task had before throttling."""
+    return Size(
+        size.cores / THROTTLED_CORES_FRACTION, size.memory_mb, size.accelerators
+    )
 
 
-def _lesser(room):
-    holds = [hold for hold in room.holds.values() if not hold.urgent]
-    return sorted(holds, key=lambda hold: -hold.since_ms)
+def _preemptible(capacity):
+    allocations = [
+        allocation
+        for allocation in capacity.allocations.values()
+        if not allocation.urgent
+    ]
+    return sorted(allocations, key=lambda allocation: -allocation.since_ms)
 
 
-def _throttle(room, size):
-    if room.obstacle(size) is not Obstacle.CORES:
+def _throttle(capacity, size):
+    if capacity.obstacle(size) is not Obstacle.CORES:
         return None
-    short, chosen = size.cores - room.cores, []
-    for hold in _lesser(room):
-        if hold.throttled or short <= 0:
+    short, chosen = size.cores - capacity.free_cores, []
+    for allocation in _preemptible(capacity):
+        if allocation.throttled or short <= 0:
             continue
-        short -= hold.size.cores * (1 - THROTTLE_SHARE)
-        chosen.append(hold)
-    return Yielding(room, Action.THROTTLE, tuple(chosen)) if short <= 0 else None
+        short -= allocation.size.cores * (1 - THROTTLED_CORES_FRACTION)
+        chosen.append(allocation)
+    return Preemption(capacity, Action.THROTTLE, tuple(chosen)) if short <= 0 else None
 
 
-def _evict(room, size, left_ms):
-    cores, memory, accelerators = room.cores, room.memory_mb, room.accelerators
+def _checkpoint_or_stop(capacity, size, left_ms):
+    cores, memory, accelerators = (
+        capacity.free_cores,
+        capacity.free_memory_mb,
+        capacity.free_accelerators,
+    )
     chosen = []
-    for hold in _lesser(room):
+    for allocation in _preemptible(capacity):
         if size.fits(Size(cores, memory, accelerators)):
             break
-        if size.accelerators > accelerators and not hold.size.accelerators:
+        if size.accelerators > accelerators and not allocation.size.accelerators:
             continue
-        cores += hold.size.cores
-        memory += hold.size.memory_mb
-        accelerators += hold.size.accelerators
-        chosen.append(hold)
+        cores += allocation.size.cores
+        memory += allocation.size.memory_mb
+        accelerators += allocation.size.accelerators
+        chosen.append(allocation)
     if not size.fits(Size(cores, memory, accelerators)):
         return None
-    largest_mb = max(hold.size.memory_mb for hold in chosen)
-    saved = largest_mb / CHECKPOINT_MB_PER_MS + STOP_ALLOWANCE_MS <= left_ms
-    action = Action.CHECKPOINT if saved else Action.STOP
-    return Yielding(room, action, tuple(chosen))
+    largest_mb = max(allocation.size.memory_mb for allocation in chosen)
+    in_time = largest_mb / CHECKPOINT_MB_PER_MS + STOP_ALLOWANCE_MS <= left_ms
+    action = Action.CHECKPOINT if in_time else Action.STOP
+    return Preemption(capacity, action, tuple(chosen))
 
 
-def choose_yielding(pool, size, left_ms, avoid=()):
-    """Return the mildest Yielding among some workers of a PoolRoom, or None.
+def choose_preemption(pool, size, left_ms, avoid=()):
+    """Return the mildest Preemption among some workers of a PoolCapacity, or None.
 
-    ``left_ms`` is the time until the urgent task should have started.
+    ``left_ms`` is the time left until the urgent task should have started. Calls
+    rotate through the workers of the pool.
     """
     best = None
-    for _ in range(min(WORKERS_EXAMINED, len(pool.turns))):
-        name = pool.turns[0]
-        pool.turns.rotate(-1)
-        room = pool.rooms[name]
-        if room.closed or name in avoid or not size.fits(room.worker.size):
+    for _ in range(min(WORKERS_EXAMINED, len(pool.rotation))):
+        name = pool.rotation[0]
+        pool.rotation.rotate(-1)
+        capacity = pool.capacities[name]
+        if capacity.blockers or name in avoid or not size.fits(capacity.worker.size):
             continue
-        found = _throttle(room, size) or _evict(room, size, left_ms)
+        found = _throttle(capacity, size) or _checkpoint_or_stop(
+            capacity, size, left_ms
+        )
         if found is not None and (best is None or found.cost < best.cost):
             best = found
         if best is not None and best.action is Action.THROTTLE:
@@ -97,40 +112,47 @@
 
 
 @attrs.frozen
-class Claim:
-    """A worker kept for an urgent task while ``attempts`` give way.
+class Reservation:
+    """A worker reserved for an urgent task until the preempted ``attempts`` end.
 
-    What is left of them at ``stop_ms`` is to be stopped, once.
+    Attempts still live at ``stop_ms`` are to be stopped, which is requested once.
     """
 
-    room: object
+    capacity: object
     size: Size
     attempts: tuple
     stop_ms: int
     stopped: bool
 
 
-class Claims:
-    """The claims of urgent tasks on workers, by task."""
+class Reservations:
+    """The Reservations of urgent tasks, by task."""
 
-    def __init__(self, holdings):
-        self._holdings = holdings
-        self._claims = {}
+    def __init__(self, allocations):
+        self._allocations = allocations
+        self._reservations = {}
 
     def pools(self):
-        """Return the names of the pools in which there are claims."""
-        return {claim.room.worker.pool for claim in self._claims.values()}
-
-    def claim(self, name):
-        """Return the Claim of a task, or None."""
-        return self._claims.get(name)
-
-    def keep(self, name, found, size, start_ms):
-        """Keep the worker of a Yielding for a task that is to start by a time."""
-        self._holdings.pool_of(found.room).close(found.room, Obstacle.RESERVED)
-        attempts = tuple((hold.task, hold.attempt) for hold in found.holds)
-        self._claims[name] = Claim(
-            found.room,
+        """Return the names of the pools with reservations."""
+        return {
+            reservation.capacity.worker.pool
+            for reservation in self._reservations.values()
+        }
+
+    def get(self, name):
+        """Return the Reservation of a task, or None."""
+        return self._reservations.get(name)
+
+    def reserve(self, name, found, size, start_ms):
+        """Reserve the worker of a Preemption for a task due at ``start_ms``."""
+        self._allocations.pool_of(found.capacity).block(
+            found.capacity, Obstacle.RESERVED
+        )
+        attempts = tuple(
+            (allocation.task, allocation.attempt) for allocation in found.allocations
+        )
+        self._reservations[name] = Reservation(
+            found.capacity,
             size,
             attempts,
             start_ms - STOP_ALLOWANCE_MS,
@@ -138,34 +160,43 @@
         )
 
     def release(self, name):
-        """Give up the claim of a task; return the Room that it kept, or None."""
-        claim = self._claims.pop(name, None)
-        if claim is None or not self._holdings.is_listed(claim.room):
+        """Drop a task's reservation; return its WorkerCapacity if still listed."""
+        reservation = self._reservations.pop(name, None)
+        if reservation is None or not self._allocations.is_listed(reservation.capacity):
             return None
-        self._holdings.pool_of(claim.room).open(claim.room, Obstacle.RESERVED)
-        return claim.room
+        self._allocations.pool_of(reservation.capacity).unblock(
+            reservation.capacity, Obstacle.RESERVED
+        )
+        return reservation.capacity
 
     def ready(self, name):
-        """Return the Claim of a task if its worker has the room now, else None."""
-        claim = self._claims.get(name)
-        if claim is None or not self._holdings.is_listed(claim.room):
+        """Return the Reservation of a task if it fits its worker now, else None."""
+        reservation = self._reservations.get(name)
+        if reservation is None or not self._allocations.is_listed(reservation.capacity):
             return None
-        free = claim.room.obstacle(claim.size) is None
-        kept = set(claim.room.closed) == {Obstacle.RESERVED}
-        return claim if free and kept else None
-
-    def is_kept(self, name, now_ms):
-        """Return whether a task has a claim that may still be met."""
-        claim = self._claims.get(name)
-        if claim is None or not self._holdings.is_listed(claim.room):
+        fits = reservation.capacity.obstacle(reservation.size) is None
+        only_reserved = set(reservation.capacity.blockers) == {Obstacle.RESERVED}
+        return reservation if fits and only_reserved else None
+
+    def is_pending(self, name, now_ms):
+        """Return whether a task has a reservation that has not timed out."""
+        reservation = self._reservations.get(name)
+        if reservation is None or not self._allocations.is_listed(reservation.capacity):
             return False
-        return now_ms < claim.stop_ms + CLAIM_LIMIT_MS
+        return now_ms < reservation.stop_ms + RESERVATION_TIMEOUT_MS
 
-    def take_late(self, name, now_ms):
-        """Return the holds to stop now, each once."""
-        claim = self._claims[name]
-        if claim.stopped or now_ms < claim.stop_ms:
+    def take_overdue(self, name, now_ms):
+        """Return the allocations to stop now; each is returned only once."""
+        reservation = self._reservations[name]
+        if reservation.stopped or now_ms < reservation.stop_ms:
             return []
-        self._claims[name] = attrs.evolve(claim, stopped=True)
-        holds = [(claim.room.holds.get(task), turn) for task, turn in claim.attempts]
-        return [hold for hold, turn in holds if hold and hold.attempt == turn]
+        self._reservations[name] = attrs.evolve(reservation, stopped=True)
+        allocations = [
+            (reservation.capacity.allocations.get(task), attempt)
+            for task, attempt in reservation.attempts
+        ]
+        return [
+            allocation
+            for allocation, attempt in allocations
+            if allocation and allocation.attempt == attempt
+        ]
--- a/src/cardamomgrade/room.py
+++ b/src/cardamomgrade/room.py
@@ -1,8 +1,8 @@
-"""Room on the workers of a pool, indexed by what is free.
+"""Index of the free capacity on the workers of a pool.
 
-Workers that take tasks stand in buckets by free accelerators and by the binary
-logarithm of free cores and memory, so that a search looks at a bounded number of
-them. Workers that are busy, set aside or reserved stand in no bucket.
+Workers that accept tasks are grouped into buckets by free accelerators and by the
+binary logarithm of free memory and cores, so that a search examines a bounded number
+of workers. Workers that are busy, set aside or reserved are in no bucket.
 """
 
 import math
@@ -11,16 +11,16 @@
 import attrs
 
 from .estimate import Size
-from .orders import Obstacle, Passed
+from .orders import Obstacle, SkippedCount
 
-EXAMINED_PER_BUCKET = 8
+EXAMINED_PER_BUCKET_MAX = 8
 EXAMINED_MAX = 24
-DOUBT_FACTOR = 4
+OVERDECLARATION_FACTOR = 4
 
 
 @attrs.frozen
 class Worker:
-    """A worker as the platform lists it."""
+    """A worker as listed by the platform, with its total capacity."""
 
     name: str
     pool: str
@@ -32,13 +32,13 @@
 
     @property
     def size(self):
-        """The whole worker as a Size."""
+        """The total capacity of the worker as a Size."""
         return Size(self.cores, self.memory_mb, self.accelerators)
 
 
 @attrs.define
-class Hold:
-    """Room held by a live attempt since the log time ``since_ms``."""
+class Allocation:
+    """Capacity allocated to a live attempt since the log time ``since_ms``."""
 
     task: str
     team: str
@@ -49,222 +49,258 @@
     throttled: bool = False
 
 
-class Room:
-    """One worker: its holds and what they leave free."""
+class WorkerCapacity:
+    """One worker with its allocations by task and its free capacity.
 
-    __slots__ = ("worker", "holds", "cores", "memory_mb", "accelerators", "closed")
+    ``blockers`` are the Obstacles for which it takes no further tasks.
+    """
+
+    __slots__ = (
+        "worker",
+        "allocations",
+        "free_cores",
+        "free_memory_mb",
+        "free_accelerators",
+        "blockers",
+    )
 
     def __init__(self, worker):
         self.worker = worker
-        self.holds = {}
-        self.cores = worker.cores
-        self.memory_mb = worker.memory_mb
-        self.accelerators = worker.accelerators
-        self.closed = set()
+        self.allocations = {}
+        self.free_cores = worker.cores
+        self.free_memory_mb = worker.memory_mb
+        self.free_accelerators = worker.accelerators
+        self.blockers = set()
 
-    def add(self, hold):
-        """Take the room of a Hold."""
-        self.holds[hold.task] = hold
-        self._shift(hold.size, -1)
+    def add(self, allocation):
+        """Add an Allocation and subtract it from the free capacity."""
+        self.allocations[allocation.task] = allocation
+        self._adjust(allocation.size, -1)
 
     def drop(self, task):
-        """Give the room of a task back, once; return its Hold or None."""
-        hold = self.holds.pop(task, None)
-        if hold is not None:
-            self._shift(hold.size, 1)
-        return hold
-
-    def resize(self, hold, size):
-        """Change what a Hold takes."""
-        self._shift(hold.size, 1)
-        hold.size = size
-        self._shift(size, -1)
-
-    def _shift(self, size, sign):
-        self.cores += sign * size.cores
-        self.memory_mb += sign * size.memory_mb
-        self.accelerators += sign * size.accelerators
+        """Remove the Allocation of a task; return it, or None if there is none."""
+        allocation = self.allocations.pop(task, None)
+        if allocation is not None:
+            self._adjust(allocation.size, 1)
+        return allocation
+
+    def resize(self, allocation, size):
+        """Set the Size of an Allocation."""
+        self._adjust(allocation.size, 1)
+        allocation.size = size
+        self._adjust(size, -1)
+
+    def _adjust(self, size, sign):
+        self.free_cores += sign * size.cores
+        self.free_memory_mb += sign * size.memory_mb
+        self.free_accelerators += sign * size.accelerators
 
     def obstacle(self, size):
-        """Return the Obstacle to a Size, or None when it fits."""
-        if size.accelerators > self.accelerators:
+        """Return the Obstacle to allocating a Size, or None when it fits."""
+        if size.accelerators > self.free_accelerators:
             return Obstacle.ACCELERATORS
-        if size.memory_mb > self.memory_mb:
+        if size.memory_mb > self.free_memory_mb:
             return Obstacle.MEMORY
-        if size.cores > self.cores:
+        if size.cores > self.free_cores:
             return Obstacle.CORES
         return None
 
 
-def _level(value):
+def _log2_level(value):
     return math.frexp(value)[1] if value > 0 else -64
 
 
-def _key(room):
-    return (room.accelerators, _level(room.memory_mb), _level(room.cores))
+def _bucket_key(capacity):
+    return (
+        capacity.free_accelerators,
+        _log2_level(capacity.free_memory_mb),
+        _log2_level(capacity.free_cores),
+    )
 
 
 @attrs.frozen
-class Search:
-    """The room found for a task, or None, and the workers passed over."""
+class SearchResult:
+    """The worker found for a task, or None, and SkippedCounts of the others."""
 
-    room: Room | None
-    passed: tuple = ()
+    capacity: WorkerCapacity | None
+    skipped: tuple = ()
 
 
-class PoolRoom:
-    """The workers of one pool."""
+class PoolCapacity:
+    """The workers of one pool, by name and by bucket of free capacity."""
 
     def __init__(self):
-        self.rooms = {}
-        self.turns = deque()
+        self.capacities = {}
+        self.rotation = deque()
         self._buckets = {}
         self._keys = {}
-        self._sorted = None
-        self._closed = Counter()
-        self._shapes = Counter()
-        self._racks = Counter()
-
-    def add(self, room):
-        """Take a worker in."""
-        name = room.worker.name
-        self.rooms[name] = room
-        self.turns.append(name)
-        self._shapes[room.worker.size] += 1
-        for hold in room.holds.values():
-            self._racks[hold.team, room.worker.rack] += 1
-        for obstacle in room.closed:
-            self._closed[obstacle] += 1
-        self.update(room)
+        self._sorted_keys = None
+        self._blocked_counts = Counter()
+        self._worker_sizes = Counter()
+        self._team_rack_counts = Counter()
+
+    def add(self, capacity):
+        """Add a worker with its allocations and blockers."""
+        name = capacity.worker.name
+        self.capacities[name] = capacity
+        self.rotation.append(name)
+        self._worker_sizes[capacity.worker.size] += 1
+        for allocation in capacity.allocations.values():
+            self._team_rack_counts[allocation.team, capacity.worker.rack] += 1
+        for obstacle in capacity.blockers:
+            self._blocked_counts[obstacle] += 1
+        self.update(capacity)
 
     def remove(self, name):
-        """Let a worker go and return its Room."""
-        room = self.rooms.pop(name)
-        self.turns.remove(name)
-        self._shapes[room.worker.size] -= 1
-        self._shapes += Counter()
-        for hold in room.holds.values():
-            self._count_rack(hold, room, -1)
-        for obstacle in room.closed:
-            self._closed[obstacle] -= 1
-        self._unlist(name)
-        return room
-
-    def update(self, room):
-        """Put a worker into the bucket of what it has free now."""
-        name = room.worker.name
-        key = None if room.closed else _key(room)
+        """Remove a worker by name and return its WorkerCapacity."""
+        capacity = self.capacities.pop(name)
+        self.rotation.remove(name)
+        self._worker_sizes[capacity.worker.size] -= 1
+        self._worker_sizes += Counter()
+        for allocation in capacity.allocations.values():
+            self._count_in_rack(allocation, capacity, -1)
+        for obstacle in capacity.blockers:
+            self._blocked_counts[obstacle] -= 1
+        self._remove_from_bucket(name)
+        return capacity
+
+    def update(self, capacity):
+        """Move a worker to the bucket of its free capacity, or out if blocked."""
+        name = capacity.worker.name
+        key = None if capacity.blockers else _bucket_key(capacity)
         if self._keys.get(name) == key:
             return
-        self._unlist(name)
+        self._remove_from_bucket(name)
         if key is None:
             return
         if key not in self._buckets:
             self._buckets[key] = {}
-            self._sorted = None
-        self._buckets[key][name] = room
+            self._sorted_keys = None
+        self._buckets[key][name] = capacity
         self._keys[name] = key
 
-    def _unlist(self, name):
+    def _remove_from_bucket(self, name):
         key = self._keys.pop(name, None)
         if key is None:
             return
         del self._buckets[key][name]
         if not self._buckets[key]:
             del self._buckets[key]
-            self._sorted = None
-
-    def close(self, room, obstacle):
-        """Offer a worker for no more tasks while it has the obstacle."""
-        if obstacle not in room.closed:
-            self._closed[obstacle] += 1
-        room.closed.add(obstacle)
-        self.update(room)
-
-    def open(self, room, obstacle):
-        """Lift one reason for which a worker was closed."""
-        if obstacle in room.closed:
-            room.closed.remove(obstacle)
-            self._closed[obstacle] -= 1
-        self.update(room)
-
-    def hold(self, room, hold):
-        """Add a Hold to a worker."""
-        room.add(hold)
-        self._count_rack(hold, room, 1)
-        self.update(room)
-
-    def free(self, room, task):
-        """Drop a task's Hold from a worker, and return it or None."""
-        hold = room.drop(task)
-        if hold is not None:
-            self._count_rack(hold, room, -1)
-            self.update(room)
-        return hold
-
-    def _count_rack(self, hold, room, step):
-        key = (hold.team, room.worker.rack)
-        self._racks[key] += step
-        if not self._racks[key]:
-            del self._racks[key]
+            self._sorted_keys = None
+
+    def block(self, capacity, obstacle):
+        """Exclude a worker from searches until the obstacle is unblocked."""
+        if obstacle not in capacity.blockers:
+            self._blocked_counts[obstacle] += 1
+        capacity.blockers.add(obstacle)
+        self.update(capacity)
+
+    def unblock(self, capacity, obstacle):
+        """Remove one blocker of a worker; others may still exclude it."""
+        if obstacle in capacity.blockers:
+            capacity.blockers.remove(obstacle)
+            self._blocked_counts[obstacle] -= 1
+        self.update(capacity)
+
+    def allocate(self, capacity, allocation):
+        """Add an Allocation to a worker."""
+        capacity.add(allocation)
+        self._count_in_rack(allocation, capacity, 1)
+        self.update(capacity)
+
+    def free(self, capacity, task):
+        """Remove a task's Allocation from a worker; return it, or None."""
+        allocation = capacity.drop(task)
+        if allocation is not None:
+            self._count_in_rack(allocation, capacity, -1)
+            self.update(capacity)
+        return allocation
+
+    def _count_in_rack(self, allocation, capacity, step):
+        key = (allocation.team, capacity.worker.rack)
+        self._team_rack_counts[key] += step
+        if not self._team_rack_counts[key]:
+            del self._team_rack_counts[key]
 
     def find(self, size, team, avoid=()):
-        """Return the Search for a Size: few of the team in a rack, then least room."""
-        if self._sorted is None:
-            self._sorted = sorted(self._buckets)
-        passed = Counter(self._closed)
+        """Return the SearchResult for a Size, without the workers in ``avoid``.
+
+        Among the workers examined it prefers fewest free accelerators, then fewest
+        allocations of the team in the rack, then least free memory.
+        """
+        if self._sorted_keys is None:
+            self._sorted_keys = sorted(self._buckets)
+        skipped = Counter(self._blocked_counts)
         fitting, examined = [], 0
-        wanted = (size.accelerators, _level(size.memory_mb), _level(size.cores))
-        for key in self._sorted:
+        wanted = (
+            size.accelerators,
+            _log2_level(size.memory_mb),
+            _log2_level(size.cores),
+        )
+        for key in self._sorted_keys:
             bucket = self._buckets[key]
             obstacle = _bucket_obstacle(key, wanted)
             if obstacle is None and examined >= EXAMINED_MAX:
                 obstacle = Obstacle.NOT_EXAMINED
             if obstacle is not None:
-                passed[obstacle] += len(bucket)
+                skipped[obstacle] += len(bucket)
                 continue
-            examined += self._examine(bucket, size, avoid, fitting, passed)
-        best = min(fitting, key=lambda room: self._cost(room, team), default=None)
-        return Search(best, _passed(passed))
+            examined += self._examine(bucket, size, avoid, fitting, skipped)
+        best = min(
+            fitting, key=lambda capacity: self._cost(capacity, team), default=None
+        )
+        return SearchResult(best, _skipped_counts(skipped))
 
-    def _examine(self, bucket, size, avoid, fitting, passed):
+    def _examine(self, bucket, size, avoid, fitting, skipped):
         count = 0
-        for name, room in bucket.items():
-            if count >= EXAMINED_PER_BUCKET:
-                passed[Obstacle.NOT_EXAMINED] += len(bucket) - count
+        for name, capacity in bucket.items():
+            if count >= EXAMINED_PER_BUCKET_MAX:
+                skipped[Obstacle.NOT_EXAMINED] += len(bucket) - count
                 break
             count += 1
-            obstacle = Obstacle.FAILED_HERE if name in avoid else room.obstacle(size)
+            obstacle = (
+                Obstacle.FAILED_HERE if name in avoid else capacity.obstacle(size)
+            )
             if obstacle is None:
-                fitting.append(room)
+                fitting.append(capacity)
             else:
-                passed[obstacle] += 1
+                skipped[obstacle] += 1
         return count
 
-    def _cost(self, room, team):
-        spread = self._racks.get((team, room.worker.rack), 0)
-        return (room.accelerators, spread, room.memory_mb)
+    def _cost(self, capacity, team):
+        spread = self._team_rack_counts.get((team, capacity.worker.rack), 0)
+        return (capacity.free_accelerators, spread, capacity.free_memory_mb)
 
-    def clip(self, size):
-        """Return a Size cut to the largest worker that has its accelerators."""
-        shapes = [
-            shape for shape in self._shapes if shape.accelerators >= size.accelerators
+    def clamp(self, size):
+        """Return a Size limited to the largest worker with enough accelerators."""
+        sizes = [
+            worker_size
+            for worker_size in self._worker_sizes
+            if worker_size.accelerators >= size.accelerators
         ]
-        if not shapes:
+        if not sizes:
             return size
-        largest = max(shapes, key=lambda shape: (shape.memory_mb, shape.cores))
+        largest = max(
+            sizes, key=lambda worker_size: (worker_size.memory_mb, worker_size.cores)
+        )
         return Size(
             min(size.cores, largest.cores),
             min(size.memory_mb, largest.memory_mb),
             size.accelerators,
         )
 
-    def can_ever_hold(self, size):
-        """Return whether a worker could hold a Size that is declared too large."""
-        least = Size(
-            size.cores / DOUBT_FACTOR, size.memory_mb / DOUBT_FACTOR, size.accelerators
+    def could_ever_fit(self, size):
+        """Return whether an empty worker may fit a declared Size.
+
+        Cores and memory may be declared OVERDECLARATION_FACTOR times too large;
+        accelerators are taken as declared.
+        """
+        smallest = Size(
+            size.cores / OVERDECLARATION_FACTOR,
+            size.memory_mb / OVERDECLARATION_FACTOR,
+            size.accelerators,
         )
-        return any(least.fits(shape) for shape in self._shapes)
+        return any(smallest.fits(worker_size) for worker_size in self._worker_sizes)
 
 
 def _bucket_obstacle(key, wanted):
@@ -277,7 +313,7 @@
     return None
 
 
-def _passed(counts):
+def _skipped_counts(counts):
     return tuple(
-        Passed(obstacle, count) for obstacle, count in counts.items() if count > 0
+        SkippedCount(obstacle, count) for obstacle, count in counts.items() if count > 0
     )
--- a/src/cardamomgrade/waiting.py
+++ b/src/cardamomgrade/waiting.py
@@ -1,4 +1,7 @@
-"""Tasks of one pool that wait for room: urgent ones first, teams in turn."""
+"""Queues of the tasks of one pool that wait for capacity.
+
+Urgent tasks come first; the others are taken from the teams in rotation.
+"""
 
 from collections import deque, OrderedDict
 
@@ -6,32 +9,36 @@
 
 
 @attrs.frozen
-class Turn:
-    """A team and the first of its tasks that wait."""
+class NextTask:
+    """A team and its first waiting task."""
 
     team: str
     task: str
 
 
-class Waiting:
-    """Names of waiting tasks; those that are over are dropped when met.
+class WaitingTasks:
+    """Names of the waiting tasks of one pool, urgent ones apart, the others by team.
 
-    ``untried`` is how many teams have not been tried since the pool changed, or None
-    when it has changed and no team was tried yet.
+    Names of tasks that no longer wait are removed only when they are reached.
+    ``untried_teams`` is the number of teams not tried since the pool changed, or None
+    when no team was tried since.
     """
 
     def __init__(self):
         self._urgent = OrderedDict()
         self._teams = OrderedDict()
-        self.untried = None
+        self.untried_teams = None
 
     @property
     def teams(self):
-        """How many teams have tasks here."""
+        """The number of teams with queued tasks."""
         return len(self._teams)
 
     def push(self, spec, first=False):
-        """Add a task; ``first`` puts it before the others of its team."""
+        """Queue a task; ``first`` puts it before the others of its team.
+
+        Urgent tasks are queued in order of arrival, whatever ``first`` is.
+        """
         if spec.urgent:
             self._urgent[spec.task] = True
             return
@@ -42,7 +49,7 @@
             queue.append(spec.task)
 
     def drop(self, spec):
-        """Take out an urgent task, or the first of its team."""
+        """Remove an urgent task, or the first task of the team of ``spec``."""
         if spec.urgent:
             self._urgent.pop(spec.task, None)
             return
@@ -52,15 +59,19 @@
             del self._teams[spec.team]
 
     def urgent(self, is_waiting):
-        """Return the urgent tasks in order of arrival."""
+        """Return the names of the urgent tasks in order of arrival.
+
+        ``is_waiting(name)`` returns whether a task still waits; others are removed.
+        """
         for task in [name for name in self._urgent if not is_waiting(name)]:
             del self._urgent[task]
         return list(self._urgent)
 
     def next_team(self, skipped, is_waiting):
-        """Return the Turn of the next team that has a waiting task, or None.
+        """Return the NextTask of the next team in rotation, or None.
 
-        The team goes to the end of the turn.
+        Teams without a waiting task are removed and those in ``skipped`` passed by;
+        the returned team moves to the end of the rotation.
         """
         for _ in range(len(self._teams)):
             team = next(iter(self._teams))
@@ -72,5 +83,5 @@
                 continue
             self._teams.move_to_end(team)
             if team not in skipped:
-                return Turn(team, queue[0])
+                return NextTask(team, queue[0])
         return None
--- a/tests/steps/placement.py
+++ b/tests/steps/placement.py
@@ -3,8 +3,8 @@
 from behave import given, then, when
 from hypothesis import given as generated, settings, strategies as st
 
+from cardamomgrade.allocations import Quota
 from cardamomgrade.estimate import Usage
-from cardamomgrade.holdings import Quota
 from cardamomgrade.orders import (
     Action,
     Obstacle,
@@ -51,7 +51,7 @@
 
 
 class Cluster:
-    """A log, placers that read it, and what a referee folds from it."""
+    """A log, placers that read it, and the reference state folded from the log."""
 
     def __init__(self, workers, placers=1):
         self.log = []
@@ -75,7 +75,7 @@
             self.read[number] += 1
 
     def decide(self, number=0, lose=False):
-        """Let a placer that has read to the end decide; append what it decides."""
+        """Let a placer decide; append its records unless they are to be lost."""
         items = list(self.placers[number].decide(self.now_ms).items)
         self.items += items
         for item in items:
@@ -84,7 +84,7 @@
         return items
 
     def step(self):
-        """Read, decide, and read back; return the decisions."""
+        """Read the log, decide, and read the appended records; return the decisions."""
         self.catch_up()
         items = self.decide()
         self.catch_up()
@@ -104,27 +104,29 @@
             held = [task for task in self.live() if task.worker == item.name]
             assert sum(task.spec.accelerators for task in held) <= item.accelerators
             assert sum(task.memory_mb for task in held) <= item.memory_mb
-            if not any(curb.action is Action.THROTTLE for curb in self.of(TaskCurbed)):
+            if not any(
+                request.action is Action.THROTTLE for request in self.of(TaskCurbed)
+            ):
                 assert sum(task.cores for task in held) <= item.cores
 
 
 def race(steps, count):
-    """Return a Cluster after generated steps of two placers."""
+    """Return a Cluster after generated steps of two placers, checked at each step."""
     cluster = Cluster([worker(f"w{number}") for number in range(count)], placers=2)
     for number, memory_mb in enumerate((5000, 4500, 2500)):
         cluster.append(submitted(f"first{number}", 1.0, memory_mb))
     cluster.catch_up(0)
     cluster.catch_up(1)
-    for number, (kind, who, size, flag) in enumerate(steps):
+    for number, (kind, placer, size, flag) in enumerate(steps):
         cluster.now_ms += 100 * size
         if kind == "submit":
             cluster.append(
                 submitted(f"t{number}", size / 2, 900 * size, size % 3, urgent=flag)
             )
         elif kind == "decide":
-            cluster.decide(who, lose=flag)
+            cluster.decide(placer, lose=flag)
         elif kind == "read":
-            cluster.catch_up(who)
+            cluster.catch_up(placer)
         elif cluster.live():
             task = cluster.live()[size % len(cluster.live())]
             if kind == "end":
@@ -137,8 +139,8 @@
     return cluster
 
 
-@then("in generated races each worker's room is never negative")
-def room_kept(context):
+@then("in generated interleavings the free capacity of each worker is never negative")
+def never_overallocated(context):
     @FIXED
     @generated(STEPS, st.integers(1, 2))
     def check(steps, count):
@@ -147,8 +149,8 @@
     check()
 
 
-@then("in generated races every task that fits is placed in the end")
-def all_placed(context):
+@then("in generated interleavings every task that fits is placed in the end")
+def all_placed_in_the_end(context):
     @FIXED
     @generated(STEPS, st.integers(1, 2))
     def check(steps, count):
@@ -167,8 +169,8 @@
     check()
 
 
-@given("two placers, of which one has not read of an urgent task")
-def different_views(context):
+@given("two placers, one of which has not read the submission of an urgent task")
+def different_offsets(context):
     cluster = context.cluster = Cluster([worker("w0")], placers=2)
     cluster.append(submitted("old", 1.0, 5000))
     cluster.catch_up(1)
@@ -184,8 +186,8 @@
     assert [item.record.task for item in cluster.of(TaskSent)] == ["new", "old"]
 
 
-@then("the later placement is void and its task is sent when the other has ended")
-def later_void(context):
+@then("the later placement is void and its task is placed when the other has ended")
+def later_placement_void(context):
     cluster = context.cluster
     (task,) = cluster.live()
     assert task.spec.task == "new"
@@ -198,35 +200,36 @@
 
 
 @given("a worker of {cores:g} cores, {memory:d} MB and {accelerators:d} accelerators")
-def one_worker(context, cores, memory, accelerators):
+def single_worker(context, cores, memory, accelerators):
     context.cluster = Cluster([worker("w", "r", cores, memory, accelerators)])
 
 
 @given("a running task of {cores:g} cores, {memory:d} MB and {count:d} accelerators")
 def running(context, cores, memory, count):
-    context.cluster.append(submitted("lesser", cores, memory, count))
+    context.cluster.append(submitted("running", cores, memory, count))
     context.cluster.step()
     assert len(context.cluster.live()) == 1
 
 
 @when(
-    "an urgent task of {cores:g} cores, {memory:d} MB and {count:d} accelerators comes"
+    "an urgent task of {cores:g} cores, {memory:d} MB and {count:d} accelerators "
+    "is submitted"
 )
-def urgent(context, cores, memory, count):
+def urgent_submitted(context, cores, memory, count):
     cluster = context.cluster
     cluster.append(submitted("urgent", cores, memory, count, urgent=True))
     cluster.step()
 
 
-@then("the running task is asked to {action} by {limit:d} ms")
-def asked(context, action, limit):
-    (curb,) = context.cluster.of(TaskCurbed)
-    assert (curb.task, curb.action.value) == ("lesser", action)
+@then("a {action} of the running task is requested by {limit:d} ms")
+def action_requested(context, action, limit):
+    (request,) = context.cluster.of(TaskCurbed)
+    assert (request.task, request.action.value) == ("running", action)
     assert context.cluster.now_ms <= limit
 
 
-@then("it is asked to stop once when it still runs at {time_ms:d} ms")
-def then_stopped(context, time_ms):
+@then("its stop is requested once when it still runs at {time_ms:d} ms")
+def stop_requested_once(context, time_ms):
     cluster = context.cluster
     for now_ms in (500, time_ms, time_ms + 200):
         cluster.now_ms = now_ms
@@ -235,8 +238,8 @@
     assert actions == [Action.CHECKPOINT, Action.STOP]
 
 
-@then("the urgent task is sent as soon as it has ended")
-def urgent_sent(context):
+@then("the urgent task is placed as soon as the running task has ended")
+def urgent_placed(context):
     cluster = context.cluster
     cluster.end(cluster.live()[0], "stopped")
     cluster.step()
@@ -265,7 +268,7 @@
     context.cluster.step()
 
 
-@then("it is refused since no worker has room for {count:d} accelerators")
+@then("it is refused because no worker has room for {count:d} accelerators")
 def refused(context, count):
     (item,) = context.cluster.of(TaskHopeless)
     assert f"{count} accelerators" in item.reason
@@ -277,10 +280,10 @@
     context.cluster = Cluster([worker(f"w{number}") for number in range(count)])
 
 
-@given("{count:d} workers of which {bad:d} fail everything")
-def bad_workers(context, count, bad):
+@given("{count:d} workers of which {failing:d} fail every task")
+def failing_workers(context, count, failing):
     workers(context, count)
-    context.bad = {f"w{number}" for number in range(bad)}
+    context.failing = {f"w{number}" for number in range(failing)}
 
 
 @given("{count:d} workers in {racks:d} racks")
@@ -290,8 +293,8 @@
     )
 
 
-@when("a task fails wherever it is placed")
-def fails_everywhere(context):
+@when("a task fails on every worker on which it is placed")
+def fails_on_every_worker(context):
     context.cluster.append(submitted("t"))
     for _ in range(10):
         context.cluster.step()
@@ -299,15 +302,15 @@
             context.cluster.end(task, "failed")
 
 
-@then("it is refused after {count:d} workers and no worker is set aside")
+@then("it is refused after it failed on {count:d} workers and no worker is set aside")
 def refused_after(context, count):
     (item,) = context.cluster.of(TaskHopeless)
     assert item.reason.count("w") == count
     assert not context.cluster.of(WorkerSetAside)
 
 
-@when("{count:d} good tasks come and are run again where they fail")
-def good_tasks(context, count):
+@when("{count:d} valid tasks are submitted and run again when they fail")
+def valid_tasks(context, count):
     cluster = context.cluster
     for number in range(count):
         cluster.append(submitted(f"t{number}", 2.0))
@@ -315,27 +318,27 @@
         cluster.now_ms += 100
         cluster.step()
         for task in cluster.live():
-            cluster.end(task, "failed" if task.worker in context.bad else "done")
+            cluster.end(task, "failed" if task.worker in context.failing else "done")
     assert not cluster.referee.tasks
 
 
 @then("at most {count:d} workers are set aside at once")
-def bounded_aside(context, count):
+def set_aside_bounded(context, count):
     assert 1 <= len(context.cluster.of(WorkerSetAside)) <= count
 
 
-@then("no good task is refused")
-def none_refused(context):
+@then("no valid task is refused")
+def no_valid_task_refused(context):
     assert not context.cluster.of(TaskHopeless)
 
 
 @then("a worker that was set aside is tried again after {delay_ms:d} ms")
 def tried_again(context, delay_ms):
     cluster = context.cluster
-    aside = {item.worker for item in cluster.of(WorkerSetAside)}
+    set_aside = {item.worker for item in cluster.of(WorkerSetAside)}
     cluster.now_ms += delay_ms
     cluster.step()
-    assert {item.worker for item in cluster.of(WorkerTried)} == aside
+    assert {item.worker for item in cluster.of(WorkerTried)} == set_aside
 
 
 @given("{count:d} workers and a quota of {cores:g} cores for a team")
@@ -352,14 +355,14 @@
         context.cluster.step()
 
 
-@then("{count:d} are sent and one waits for the quota")
-def quota_waits(context, count):
+@then("{count:d} are placed and one waits for the quota")
+def one_waits_for_quota(context, count):
     assert len(context.cluster.live()) == count
     assert [item.obstacle for item in context.cluster.of(TaskWaits)] == [Obstacle.QUOTA]
 
 
-@then("it is sent when one of them is done")
-def quota_freed(context):
+@then("it is placed when one of them is done")
+def placed_after_quota_freed(context):
     cluster = context.cluster
     cluster.end(cluster.live()[0])
     cluster.step()
@@ -378,8 +381,8 @@
     context.declared = cores
 
 
-@then("{count:d} more of them are placed at once")
-def more_placed(context, count):
+@then("{count:d} more of them run at the same time")
+def more_run(context, count):
     cluster = context.cluster
     for number in range(count):
         cluster.append(submitted(f"new{number}", context.declared))
@@ -396,23 +399,23 @@
         context.cluster.step()
 
 
-@then("they stand in {count:d} racks")
-def stand_in_racks(context, count):
+@then("they are placed in {count:d} racks")
+def placed_in_racks(context, count):
     cluster = context.cluster
     racks = {cluster.workers[task.worker].rack for task in cluster.live()}
     assert len(racks) == count
 
 
-@then("each sent task names the workers passed over by obstacle")
-def passed_over(context):
+@then("each placement states its estimate and counts the skipped workers by obstacle")
+def placements_explained(context):
     sent = context.cluster.of(TaskSent)
     assert all("estimated" in item.reason for item in sent)
-    busy = [[str(passed) for passed in item.refused] for item in sent]
-    assert busy[0] == []
-    assert busy[1] == ["1 another placement is under way"]
+    skipped_counts = [[str(skipped) for skipped in item.refused] for item in sent]
+    assert skipped_counts[0] == []
+    assert skipped_counts[1] == ["1 another placement is under way"]
 
 
-@when("a task is sent and its append is lost")
+@when("a task is placed and the append of its record is lost")
 def append_lost(context):
     cluster = context.cluster
     cluster.append(submitted("t"))
@@ -421,8 +424,8 @@
     assert len(cluster.of(TaskSent)) == 1
 
 
-@then("it is sent again after {delay_ms:d} ms and not before")
-def sent_again(context, delay_ms):
+@then("it is placed again after {delay_ms:d} ms and not before")
+def placed_again_after(context, delay_ms):
     cluster = context.cluster
     cluster.now_ms = delay_ms
     cluster.step()
@@ -449,9 +452,9 @@
     cluster.step()
 
 
-@then("every worker is as free as at the start")
-def as_free(context):
+@then("every worker has its whole capacity free again")
+def all_capacity_free(context):
     cluster = context.cluster
-    for room in cluster.placers[0]._holdings.rooms.values():
-        assert (room.cores, room.memory_mb) == (8.0, 8000)
-        assert not room.holds and not room.closed
+    for capacity in cluster.placers[0]._allocations.capacities.values():
+        assert (capacity.free_cores, capacity.free_memory_mb) == (8.0, 8000)
+        assert not capacity.allocations and not capacity.blockers
