--- a/src/cardamomgrade/health.py
+++ b/src/cardamomgrade/health.py
@@ -14,7 +14,7 @@
 ASIDE_SHARE = 0.1
 ASIDE_MIN_MS = 60_000
 ASIDE_MAX_MS = 3_600_000
-TASK_FAULT_SOUND_WORKERS = 3
+TASK_FAULT_HEALTHY_WORKERS = 3
 TASK_FAULT_WORKERS_MAX = 6
 
 
@@ -110,11 +110,11 @@
     def is_task_at_fault(self, failed_on, pool_workers):
         """Return whether a task, not its workers, caused the failures.
 
-        It did when it failed on TASK_FAULT_SOUND_WORKERS workers (or all of a smaller
+        It did when it failed on TASK_FAULT_HEALTHY_WORKERS workers (or all of a smaller
         pool) with few other failures, or on TASK_FAULT_WORKERS_MAX workers of any kind.
         """
-        sound = [
+        healthy = [
             name for name in failed_on if self.streak(name) < FAULTY_WORKER_TASKS_MIN
         ]
-        needed = min(TASK_FAULT_SOUND_WORKERS, max(1, pool_workers))
-        return len(sound) >= needed or len(failed_on) >= TASK_FAULT_WORKERS_MAX
+        needed = min(TASK_FAULT_HEALTHY_WORKERS, max(1, pool_workers))
+        return len(healthy) >= needed or len(failed_on) >= TASK_FAULT_WORKERS_MAX
--- a/src/cardamomgrade/placement.py
+++ b/src/cardamomgrade/placement.py
@@ -412,7 +412,7 @@
 
     def _request_action(self, capacity, allocations, action, urgent):
         worker = capacity.worker.name
-        reason = f"urgent task {urgent} needs room" if urgent else "has room again"
+        reason = f"preempted for {urgent}" if urgent else "capacity is free again"
         for allocation in allocations:
             self._decisions.append(
                 TaskCurbed(
--- a/tests/placement.feature
+++ b/tests/placement.feature
@@ -64,7 +64,7 @@
     When 4 tasks that declare 4 cores and use 0.4 have run
     Then 8 more of them run at the same time
 
-  Scenario: tasks of a team are spread over racks and each placement states its reason
+  Scenario: tasks of a team are spread over racks and each decision states its reason
     Given 8 workers in 4 racks
     When 4 tasks of one team are submitted
     Then they are placed in 4 racks
--- a/tests/steps/choice.py
+++ b/tests/steps/choice.py
@@ -42,7 +42,9 @@
     check()
 
 
-@then("in generated choices the endpoint is free, untried and not ejected")
+@then(
+    "in generated choices the endpoint has a free slot, is untried and is not ejected"
+)
 def choices_valid(context):
     loads = st.lists(st.tuples(st.integers(0, 8), st.integers(0, 2)), max_size=8)
 
@@ -67,21 +69,21 @@
 
 
 @attrs.define
-class Bench:
-    """Endpoints in simulated time; 4 requests arrive every 10 ms."""
+class EndpointSimulation:
+    """Simulates endpoints of 8 slots each; a request arrives every 2.5 ms."""
 
     answers: list
     chooser: Chooser
     now: float = 0.0
-    ends: list = attrs.field(factory=list)
+    responses: list = attrs.field(factory=list)
     in_flight: Counter = attrs.field(factory=Counter)
 
     def run(self, count):
-        ends, in_flight, given_to = self.ends, self.in_flight, Counter()
+        responses, in_flight, sent_counts = self.responses, self.in_flight, Counter()
         for _ in range(count):
             self.now += 0.0025
-            while ends and ends[0][0] <= self.now:
-                _, _, choice, ok, seconds = heapq.heappop(ends)
+            while responses and responses[0][0] <= self.now:
+                _, _, choice, ok, seconds = heapq.heappop(responses)
                 in_flight[choice.candidate.vm] -= 1
                 self.chooser.record(choice, ok, seconds, self.now)
             items = [
@@ -94,52 +96,54 @@
             index = int(choice.candidate.vm[2:])
             ok, seconds = self.answers[index]
             in_flight[choice.candidate.vm] += 1
-            given_to[index] += 1
-            heapq.heappush(ends, (self.now + seconds, self.now, choice, ok, seconds))
-        return given_to
+            sent_counts[index] += 1
+            heapq.heappush(
+                responses, (self.now + seconds, self.now, choice, ok, seconds)
+            )
+        return sent_counts
 
 
 @given("{count:d} endpoints that answer in {ms:d} ms")
 def endpoints_answer(context, count, ms):
     chooser = Chooser(random.Random(3))
     chooser.update([f"vm{number}" for number in range(count)])
-    context.bench = Bench([(True, ms / 1000)] * count, chooser)
+    context.simulation = EndpointSimulation([(True, ms / 1000)] * count, chooser)
 
 
-@when("endpoint {number:d} fails everything in {ms:d} ms")
+@when("endpoint {number:d} fails every request in {ms:d} ms")
 def endpoint_fails(context, number, ms):
-    context.bench.answers[number] = (False, ms / 1000)
+    context.simulation.answers[number] = (False, ms / 1000)
 
 
 @when("endpoint {number:d} answers in {ms:d} ms")
-def endpoint_slow(context, number, ms):
-    context.bench.answers[number] = (True, ms / 1000)
+def endpoint_answers(context, number, ms):
+    context.simulation.answers[number] = (True, ms / 1000)
 
 
-@when("all endpoints fail everything in {ms:d} ms")
+@when("all endpoints fail every request in {ms:d} ms")
 def all_fail(context, ms):
-    context.bench.answers[:] = [(False, ms / 1000)] * len(context.bench.answers)
+    context.simulation.answers[:] = [(False, ms / 1000)] * len(
+        context.simulation.answers
+    )
 
 
-@then(
-    "endpoint {number:d} is given {bound} than {share:d} percent of {count:d} requests"
-)
-def given_share(context, number, bound, share, count):
-    taken = context.bench.run(count)[number]
+@then("endpoint {number:d} gets {bound} than {share:d} percent of {count:d} requests")
+def share_sent(context, number, bound, share, count):
+    sent = context.simulation.run(count)[number]
     limit = count * share / 100
-    assert taken < limit if bound == "less" else taken > limit, taken
+    assert sent < limit if bound == "less" else sent > limit, sent
 
 
-@when("{count:d} requests pass")
+@when("{count:d} requests are sent")
 def requests_pass(context, count):
-    context.bench.run(count)
+    context.simulation.run(count)
 
 
-@then("at least {count:d} endpoints are still given requests")
-def still_given(context, count):
-    context.bench.run(1000)
-    taken = context.bench.run(1000)
-    assert len(taken) >= count, taken
+@then("at least {count:d} endpoints still get requests")
+def still_sent(context, count):
+    context.simulation.run(1000)
+    sent = context.simulation.run(1000)
+    assert len(sent) >= count, sent
 
 
 @given("an ejected endpoint whose probe is due")
@@ -163,7 +167,7 @@
     context.chooser.skip(Choice(context.items[0], True))
 
 
-@then("a request that must run once probes it only when it is overdue")
+@then("a request that must run only once probes it only when the probe is overdue")
 def probed_late(context):
     early = context.chooser.choose(context.items, 1.5 * context.delay, (), False)
     late = context.chooser.choose(context.items, 3 * context.delay, (), False)
@@ -171,20 +175,20 @@
 
 
 @given("candidates in two zones and two racks each")
-def zoned(context):
+def candidates_in_zones(context):
     context.items = [candidate(number) for number in range(8)]
     context.chooser = Chooser(random.Random(5))
 
 
-@then("the next try after each candidate is in the other zone")
-def next_zone(context):
+@then("the retry after each candidate is in the other zone")
+def retry_in_other_zone(context):
     for first in context.items:
         choice = context.chooser.choose(context.items, 0.0, [first])
         assert choice.candidate.zone != first.zone
 
 
-@then("without the other zone it is in the other rack")
-def next_rack(context):
+@then("without the other zone the retry is in the other rack")
+def retry_in_other_rack(context):
     items = [item for item in context.items if item.zone == "z0"]
     for first in items:
         choice = context.chooser.choose(items, 0.0, [first])
--- a/tests/steps/tasks.py
+++ b/tests/steps/tasks.py
@@ -54,7 +54,7 @@
 
 
 class Log:
-    """Folds records as they come, each with the next offset."""
+    """Folds records in the order added, each at the next offset."""
 
     def __init__(self):
         self.state = TaskState()
@@ -107,14 +107,14 @@
 
 
 def check_lapsed(state, live):
-    """Assert that the tasks called lapsed are those that a scan would find."""
+    """Assert that lapsed() returns the same tasks as a scan of the live leases."""
     for time_ms in (state.time_ms, state.time_ms + LEASE_MS, 10**9):
         ends = time_ms - LEASE_MARGIN_MS
         found = sorted(task.spec.task for task in state.lapsed(time_ms))
         assert found == sorted(name for name, until in live.items() if until <= ends)
 
 
-@then("folding generated task histories twice has the effect of folding them once")
+@then("folding generated task histories twice has the same effect as folding them once")
 def task_twice(context):
     @FIXED
     @generated(HISTORY)
@@ -154,7 +154,7 @@
     assert result.reason is Reason.EXPIRED
 
 
-@then("its attempt cannot be called lapsed at {time_ms:d} ms")
+@then("ending its attempt as lapsed is refused at {time_ms:d} ms")
 def not_lapsed(context, time_ms):
     assert not context.tasks.state.lapsed(time_ms)
     result = context.tasks.add(TaskEnded("t", 1, "lapsed", "c"), time_ms)
@@ -163,7 +163,7 @@
     assert result.reason is Reason.WRONG_STATE
 
 
-@then("its attempt can be called lapsed at {time_ms:d} ms")
+@then("ending its attempt as lapsed is accepted at {time_ms:d} ms")
 def lapsed(context, time_ms):
     assert [task.spec.task for task in context.tasks.state.lapsed(time_ms)] == ["t"]
     assert context.tasks.add(TaskEnded("t", 1, "lapsed", "c"), time_ms)
@@ -175,7 +175,9 @@
     assert context.tasks.add(placed("t", 2, "v")).step is Step.PLACED
 
 
-@given("two tasks that two placers put on one worker from the same offset")
+@given(
+    "two tasks placed on one worker by two placers that have read to the same offset"
+)
 def racing_placers(context):
     log = Log()
     log.add(submitted("t"))
@@ -207,14 +209,16 @@
     assert len(context.changes) == len(names)
 
 
-@then("{over:d} tasks are over and {held:d} hold their room until their attempts end")
-def held_room(context, over, held):
+@then(
+    "{over:d} tasks have finished and {held:d} keep capacity until their attempts end"
+)
+def capacity_kept(context, over, held):
     assert sum(item.after is None for item in context.changes) == over
     assert not any(item.freed for item in context.changes)
     assert len(context.tasks.state.tasks) == held
 
 
-@then("each attempt that ends frees its room once")
+@then("each attempt that ends frees its capacity once")
 def freed_once(context):
     names = list(context.tasks.state.tasks)
     ends = [TaskEnded(name, 1, "stopped", "c") for name in names] * 3
@@ -237,7 +241,7 @@
 
 
 @then("{count:d} placed tasks take less than {limit:d} bytes each")
-def small_tasks(context, count, limit):
+def little_task_memory(context, count, limit):
     tracemalloc.start()
     log = Log()
     for number in range(count):
@@ -245,5 +249,5 @@
         log.add(_copy(placed(f"task-{number}", 1, f"w{number % 100}")))
     size = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    print(f"{size / count:.0f} bytes a task")
+    print(f"{size / count:.0f} bytes per task")
     assert size / count < limit, size / count
