--- a/src/cardamomgrade/member.py
+++ b/src/cardamomgrade/member.py
@@ -1,4 +1,4 @@
-"""An entry's part in the fleet: its seat and the records it owes the log."""
+"""An entry's membership of the fleet: its seat and the records it has to append."""
 
 import time
 
@@ -30,7 +30,7 @@
 from .replica import Step
 
 TICK_S = 0.1
-APPEND_AGAIN_S = 1.0
+APPEND_RETRY_S = 1.0
 LEAVE_TIMEOUT_S = 3.0
 ACK_HOLD_S = 5.0
 MS_PER_S = 1000
@@ -43,10 +43,11 @@
 
 @attrs.define
 class Seat:
-    """The name, place and current incarnation of an entry.
+    """An entry's name, zone, address and current incarnation.
 
-    An incarnation is the time in ms at which it was taken, or one more than the
-    last one that is known.
+    An incarnation numbers one occupation of the seat. It is the wall-clock time in ms
+    at which it was chosen, or one more than the latest known incarnation if that is
+    greater.
     """
 
     name: str
@@ -54,45 +55,59 @@
     address: str
     incarnation: int = attrs.field(factory=_time_ms)
 
-    def renew(self, seen):
-        """Take an incarnation above ``seen``."""
-        self.incarnation = max(seen + 1, _time_ms())
+    def renew(self, last_known):
+        """Choose an incarnation greater than ``last_known``."""
+        self.incarnation = max(last_known + 1, _time_ms())
 
 
 def owed_records(state, seat, held):
-    """Return the records that a seat owes the log by a folded state.
+    """Return the list of records that a seat still has to append, given a FleetState.
 
-    ``held(vm)`` tells how many requests the entry has in flight on a VM.
+    It is a MemberJoined until the state holds this incarnation, then a BatchAcked and
+    a DrainConfirmed for each batch that waits for one. ``held(vm)`` returns the number
+    of requests that the entry has in flight on a VM; a drain is confirmed only when it
+    is 0 for every VM of the batch.
     """
     member = state.members.get(seat.name)
     if member is None or member.incarnation < seat.incarnation:
         return [MemberJoined(seat.name, seat.incarnation, seat.zone, seat.address)]
-    who = (seat.name, seat.incarnation)
-    owed = [BatchAcked(*who, offset) for offset in batches_to_ack(state, *who)]
-    owed.extend(
-        DrainConfirmed(*who, offset)
-        for offset in drains_to_confirm(state, *who)
+    identity = (seat.name, seat.incarnation)
+    pending = [
+        BatchAcked(*identity, offset) for offset in batches_to_ack(state, *identity)
+    ]
+    pending.extend(
+        DrainConfirmed(*identity, offset)
+        for offset in drains_to_confirm(state, *identity)
         if not any(held(vm) for vm in state.batches[offset].vms)
     )
-    return owed
+    return pending
 
 
 class Member:
-    """Follows the fleet stream and keeps the entry's duties towards it.
-
-    ``on_change()`` is called when the state has changed, ``on_replaced()`` when a
-    later incarnation has taken the seat, ``on_first()`` when the log shows that the
-    seat had no incarnation before, ``on_vacant(seats)`` after a read that shows no
-    members in other seats. ``held(vm)`` counts requests in flight,
-    ``relay(record)`` asks a peer to append and tells whether one could, ``on_raw``
-    is given raw records. ``outage(members)`` tells whether a peer that is a member
-    has lost its lease on the log, ``departures`` contains the VMs that the platform
-    shows as leaving.
-
-    An entry that starts during an outage of the log cannot become a member. It may
-    send while such a peer is alive. Every member that lost its lease therefore holds
-    its acknowledgements back, after it has the lease again, until such an entry has
-    heard of that and the longest deadline has passed.
+    """Follows the fleet stream and appends the records that are due from the entry.
+
+    Hooks, of which ``on_change``, ``on_replaced`` and ``held`` are required:
+
+    - ``on_change()`` is called when the state has changed or requests may be sent
+      again after a pause.
+    - ``on_replaced()`` is called when a later incarnation has taken the seat.
+    - ``on_first()`` is called when the log shows no earlier incarnation of the seat.
+    - ``on_vacant(seats)`` gets the set of seats without a member, each time that the
+      state is proven fresh while a bundle is in force.
+    - ``on_raw(raw)`` gets each list of new raw records.
+    - ``held(vm)`` returns the number of requests in flight on a VM.
+    - ``relay(record)`` asks a peer to append a record; it returns whether a peer could.
+    - ``outage(members)`` returns whether a live peer in the dict ``members`` has lost
+      its lease on the log.
+    - ``departures`` is a container of the names of the VMs that the platform shows as
+      leaving.
+
+    The entry has a lease on the log, and its state is fresh, for LEASE_MS after a read
+    that reached the tail. An entry that starts during an outage of the log cannot
+    become a member, but may send requests while a live peer that is a member reports
+    the outage. Each member that has regained its lease therefore delays its
+    acknowledgements, until such an entry has learned that the outage is over and the
+    longest deadline has passed.
     """
 
     def __init__(self, loop, net, log, seat, **hooks):
@@ -102,9 +117,9 @@
         self._on_replaced = hooks["on_replaced"]
         self._on_first = hooks.get("on_first") or (lambda: None)
         self._on_vacant = hooks.get("on_vacant") or (lambda seats: None)
-        self._held = hooks["held"]
-        self._outage = hooks.get("outage") or (lambda members: False)
-        self._departures = hooks.get("departures") or ()
+        self._in_flight = hooks["held"]
+        self._outage_known = hooks.get("outage") or (lambda members: False)
+        self._leaving_vms = hooks.get("departures") or ()
         self._relay = hooks.get("relay") or (lambda record: False)
         self.follower = Follower(
             loop,
@@ -112,7 +127,8 @@
             log,
             self._on_results,
             on_fresh=self._on_fresh,
-            # no record marks that moment; what waits would wait for the next one
+            # No record marks the end of a pause; without this call, queued requests
+            # would wait until the next record.
             on_resumed=self._on_change,
             on_lost=self._on_lost,
             on_bad=lambda offset, detail: note(
@@ -120,14 +136,14 @@
             ),
             on_raw=hooks.get("on_raw"),
         )
-        self._seat_seen = False
+        self._seat_used_before = False
         self._was_fresh = False
         self._was_member = False
         self._bundle = None
-        self._again_at = {}
+        self._retry_at = {}
         self._caught_up = False
         self._leaving = False
-        self._ack_after = 0.0
+        self._ack_after_s = 0.0
 
     @property
     def state(self):
@@ -136,61 +152,73 @@
 
     @property
     def leaving(self):
-        """Whether the entry has begun to leave its seat."""
+        """Whether ``leave`` has been called."""
         return self._leaving
 
     def start(self):
-        """Begin to read; the seat is taken once the tail was seen."""
+        """Start reading; the entry joins once it has read up to the tail."""
         self.follower.start()
         self._loop.call_every(TICK_S, self.tick)
 
     def is_member(self):
-        """Return whether the folded state holds this incarnation as a member."""
+        """Return whether this incarnation is a member in the folded state."""
         return is_member(self.state, self.seat.name, self.seat.incarnation)
 
     def may_send(self, vm):
-        """Return True when requests may be sent to a VM now, else a Refusal."""
+        """Return True if requests may be sent to a VM now, else a Refusal."""
         fresh = self.follower.fresh()
-        if not self.is_member() and (fresh or not self._outage(self.state.members)):
-            return Refusal(Reason.NOT_ACKNOWLEDGED, "the entry is no member")
+        if not self.is_member() and (
+            fresh or not self._outage_known(self.state.members)
+        ):
+            return Refusal(
+                Reason.NOT_ACKNOWLEDGED, "the entry is not a member of the fleet"
+            )
         if self.follower.paused():
-            return Refusal(Reason.NOT_SERVING, "the process stood still")
-        if vm in self._departures:
-            return Refusal(Reason.NOT_SERVING, f"{vm}: the platform shows it leaving")
+            return Refusal(
+                Reason.NOT_SERVING,
+                "the process was paused and has not read the log since",
+            )
+        if vm in self._leaving_vms:
+            return Refusal(
+                Reason.NOT_SERVING, f"{vm}: the platform shows the VM as leaving"
+            )
         return may_send(self.state, vm, fresh)
 
     def tick(self):
-        """Notice changes of freshness and append what is owed."""
+        """Update the freshness and append the records that are due."""
         self.note_freshness()
         if self._caught_up and not self._leaving:
-            self._settle()
+            self._append_due()
 
     def note_freshness(self):
-        """Notice a lease lost or regained; call it before a peer is told its age."""
+        """Log a lost or regained lease, and delay acknowledgements after the latter.
+
+        Call it before the age of the proof of freshness is sent to a peer.
+        """
         fresh = self.follower.fresh()
         if fresh and not self._was_fresh and self._caught_up:
             deadline_s = self.state.deadline_peak_ms / MS_PER_S
-            self._ack_after = self._loop.now() + ACK_HOLD_S + deadline_s
+            self._ack_after_s = self._loop.now() + ACK_HOLD_S + deadline_s
         if fresh != self._was_fresh:
             event = FreshnessRegained if fresh else FreshnessLost
             note(event(self.state.offset))
         self._was_fresh = fresh
 
-    def _settle(self):
+    def _append_due(self):
         now = self._loop.now()
-        owed = owed_records(self.state, self.seat, self._held)
-        self._again_at = {
-            record: due for record, due in self._again_at.items() if record in owed
+        pending = owed_records(self.state, self.seat, self._in_flight)
+        self._retry_at = {
+            record: due for record, due in self._retry_at.items() if record in pending
         }
-        for record in owed:
+        for record in pending:
             if isinstance(record, BatchAcked) and not self._may_ack(now):
                 continue
-            if self._again_at.get(record, now) <= now:
-                self._again_at[record] = float("inf")
+            if self._retry_at.get(record, now) <= now:
+                self._retry_at[record] = float("inf")
                 self._append(record)
 
     def _may_ack(self, now):
-        return self.follower.fresh() and now >= self._ack_after
+        return self.follower.fresh() and now >= self._ack_after_s
 
     def _append(self, record):
         name = type(record).__name__
@@ -199,15 +227,15 @@
         def done(verdict):
             if isinstance(verdict, Refusal):
                 note(AppendFailed(name, str(verdict)))
-            self._again_at[record] = self._loop.now() + APPEND_AGAIN_S
+            self._retry_at[record] = self._loop.now() + APPEND_RETRY_S
 
         if not self.follower.feed.reachable and self._relay(record):
-            self._again_at[record] = self._loop.now() + APPEND_AGAIN_S
+            self._retry_at[record] = self._loop.now() + APPEND_RETRY_S
         else:
             self.follower.submit(record, done)
 
     def freshen(self, sent_s):
-        """Note a peer's proof that all of the log before ``sent_s`` was folded."""
+        """Record a peer's proof that the log before ``sent_s`` has been folded."""
         self.follower.freshen(sent_s)
         self._on_fresh()
 
@@ -216,13 +244,13 @@
         if not self._caught_up and self.follower.fresh():
             self._catch_up()
         if self.state.bundle is not None and self.follower.fresh():
-            taken = {self.seat.name, *self.state.members}
-            self._on_vacant(set(self.state.bundle.seats) - taken)
+            occupied = {self.seat.name, *self.state.members}
+            self._on_vacant(set(self.state.bundle.seats) - occupied)
         self.tick()
 
     def _catch_up(self):
         self._caught_up = True
-        if not self._seat_seen:
+        if not self._seat_used_before:
             self._on_first()
         member = self.state.members.get(self.seat.name)
         if member is not None and member.incarnation >= self.seat.incarnation:
@@ -230,16 +258,18 @@
 
     def _on_lost(self, earliest):
         note(LogTruncated(STREAM_FLEET, earliest))
-        self._seat_seen = True
+        self._seat_used_before = True
 
-    def _is_seat(self, item):
+    def _shows_prior_use(self, item):
         if not isinstance(item, Step):
             return True
         record = item.logged.record
         return isinstance(record, MemberJoined) and record.entry == self.seat.name
 
     def _on_results(self, results):
-        self._seat_seen = self._seat_seen or any(map(self._is_seat, results))
+        self._seat_used_before = self._seat_used_before or any(
+            map(self._shows_prior_use, results)
+        )
         if self.state.bundle is not self._bundle:
             self._bundle = self.state.bundle
             note(BundleInForce(self._bundle.version, self.state.bundle_offset))
@@ -262,16 +292,20 @@
             self._on_replaced()
 
     def leave(self, on_done):
-        """Append that the entry left; ``on_done(bool)`` tells if the log took it."""
+        """Append a MemberLeft; call ``on_done(bool)`` once with whether it succeeded.
+
+        The result is False if the entry is not a member or the log has not answered
+        within LEAVE_TIMEOUT_S.
+        """
         self._leaving = True
         if not self.is_member():
             on_done(False)
             return
-        calls = [on_done]
+        callbacks = [on_done]
 
         def done(result):
-            if calls:
-                calls.pop()(isinstance(result, Appended))
+            if callbacks:
+                callbacks.pop()(isinstance(result, Appended))
 
         self._loop.call_later(LEAVE_TIMEOUT_S, lambda: done(None))
         record = MemberLeft(self.seat.name, self.seat.incarnation)
--- a/src/cardamomgrade/membership.py
+++ b/src/cardamomgrade/membership.py
@@ -1,4 +1,4 @@
-"""Which peers are alive, by their heartbeats, and whose freshness counts here."""
+"""Failure detection by heartbeats, and proofs of freshness received from peers."""
 
 from collections import OrderedDict
 from enum import Enum, unique
@@ -8,13 +8,13 @@
 HEARTBEAT_S = 1.0
 SUSPECT_AFTER_S = 3 * HEARTBEAT_S
 DOWN_AFTER_S = 6 * HEARTBEAT_S
-PINGS_KEPT = 16
+PINGS_MAX = 16
 NO_PROOF = -1
 
 
 @unique
 class PeerState(Enum):
-    """What is believed of a peer; a suspect peer is not given up yet."""
+    """State of a peer; a suspect peer has missed heartbeats but is not down yet."""
 
     UNKNOWN = "unknown"
     ALIVE = "alive"
@@ -24,7 +24,10 @@
 
 @attrs.frozen
 class Change:
-    """A peer's state or incarnation before and after; ``silent_s`` since heard."""
+    """A change of a peer's state or incarnation.
+
+    ``silent_s`` is the time in seconds since its last message.
+    """
 
     peer: str
     before: PeerState
@@ -38,22 +41,22 @@
 class _Peer:
     state: PeerState = PeerState.UNKNOWN
     incarnation: int = 0
-    heard: float = 0.0
+    last_heard_s: float = 0.0
 
 
 class Membership:
-    """The peers of one entry. Times are monotonic seconds given by the caller."""
+    """States of the peers of one entry. The caller passes in monotonic seconds."""
 
     def __init__(self, peers):
         self._peers = {name: _Peer() for name in peers}
-        self._swept = None
+        self._last_sweep_s = None
 
     def state(self, name):
         """Return the PeerState of a peer."""
         return self._peers[name].state
 
     def incarnation(self, name):
-        """Return the highest incarnation that was met, or 0."""
+        """Return the highest incarnation seen of a peer, or 0."""
         return self._peers[name].incarnation
 
     def alive(self):
@@ -63,42 +66,43 @@
         ]
 
     def heard(self, name, incarnation, now):
-        """Note a message; return a Change, or None when nothing has changed.
+        """Record a message of a peer; return a Change, or None if nothing changed.
 
         A message of an incarnation that has been replaced is ignored.
         """
         peer = self._peers[name]
         if incarnation < peer.incarnation:
             return None
-        old, peer.incarnation, peer.heard = peer.incarnation, incarnation, now
-        return self._move(name, PeerState.ALIVE, old, 0.0)
+        old, peer.incarnation, peer.last_heard_s = peer.incarnation, incarnation, now
+        return self._update(name, PeerState.ALIVE, old, 0.0)
 
     def closed(self, name, now):
-        """Note that the link to a peer is closed; return a Change or None."""
-        return self._settle(name, PeerState.DOWN, now)
+        """Mark a peer whose link has closed as down; return a Change or None."""
+        return self._set_state(name, PeerState.DOWN, now)
 
     def sweep(self, now):
-        """Return the Changes of peers that have been silent for too long.
+        """Update the states by the time since each peer's last message; return Changes.
 
-        A gap between sweeps is a pause of this entry and no silence of its peers.
+        A gap of SUSPECT_AFTER_S or more between two calls means that this process was
+        paused; it is not counted as silence of the peers.
         """
-        pause_s = now - self._swept if self._swept is not None else 0.0
-        self._swept = now
+        pause_s = now - self._last_sweep_s if self._last_sweep_s is not None else 0.0
+        self._last_sweep_s = now
         if pause_s >= SUSPECT_AFTER_S:
             for peer in self._peers.values():
-                peer.heard += pause_s
+                peer.last_heard_s += pause_s
         changes = [
-            self._settle(name, _by_silence(now - peer.heard), now)
+            self._set_state(name, _state_after_silence(now - peer.last_heard_s), now)
             for name, peer in self._peers.items()
             if peer.state in (PeerState.ALIVE, PeerState.SUSPECT)
         ]
         return [change for change in changes if change is not None]
 
-    def _settle(self, name, state, now):
+    def _set_state(self, name, state, now):
         peer = self._peers[name]
-        return self._move(name, state, peer.incarnation, now - peer.heard)
+        return self._update(name, state, peer.incarnation, now - peer.last_heard_s)
 
-    def _move(self, name, state, old, silent_s):
+    def _update(self, name, state, old, silent_s):
         peer = self._peers[name]
         before, peer.state = peer.state, state
         if before is state and old == peer.incarnation:
@@ -106,7 +110,7 @@
         return Change(name, before, state, old, peer.incarnation, silent_s)
 
 
-def _by_silence(silent_s):
+def _state_after_silence(silent_s):
     if silent_s >= DOWN_AFTER_S:
         return PeerState.DOWN
     if silent_s >= SUSPECT_AFTER_S:
@@ -115,31 +119,32 @@
 
 
 class Pings:
-    """The times at which the newest heartbeats to one peer were sent."""
+    """Send times of the last PINGS_MAX heartbeats to one peer."""
 
     def __init__(self):
         self._sent = OrderedDict()
         self.sequence = 0
 
     def send(self, now):
-        """Return the sequence of a heartbeat that is sent now."""
+        """Record a heartbeat sent at ``now``; return its sequence number."""
         self.sequence += 1
         self._sent[self.sequence] = now
-        if len(self._sent) > PINGS_KEPT:
+        if len(self._sent) > PINGS_MAX:
             self._sent.popitem(last=False)
         return self.sequence
 
     def sent_s(self, sequence):
-        """Return when a heartbeat was sent, or None when it is not known."""
+        """Return when a heartbeat was sent, or None if it is not recorded any more."""
         return self._sent.get(sequence)
 
 
 def handed_on_proof(heartbeat, ping_sent_s, own_offset):
-    """Return a time at which this entry had read all of the log, or None.
+    """Return a time up to which this entry is proven to have read the log, or None.
 
-    The peer sent ``heartbeat`` after it had got the ping sent at ``ping_sent_s``,
-    and had its proof ``age_ms`` before that. It holds here once everything that the
-    peer had read has been read here.
+    The peer sent ``heartbeat`` after it received the ping sent at ``ping_sent_s``, and
+    its proof was ``age_ms`` old when it sent it. So the peer had read the whole log as
+    of ``age_ms`` before the ping. The proof applies to this entry once it has read all
+    that the peer had read (``own_offset`` has reached the peer's offset).
     """
     if ping_sent_s is None or heartbeat.age_ms == NO_PROOF:
         return None
--- a/tests/steps/member.py
+++ b/tests/steps/member.py
@@ -1,4 +1,4 @@
-"""Steps for the member module, under an injected clock."""
+"""Steps for the member module, with a simulated clock."""
 
 from behave import given, then, when
 
@@ -19,8 +19,8 @@
 DEADLINE_S = 1.0
 
 
-class Lone:
-    """A Member whose reads, appends and clock are the test's."""
+class SingleMember:
+    """A Member whose reads and clock are set by the test; its appends are recorded."""
 
     def __init__(self):
         self.rig = Rig()
@@ -65,62 +65,62 @@
 
 @given("a member of the fleet that reads the log")
 def step_member(context):
-    context.lone = Lone()
-    assert context.lone.member.is_member()
+    context.single = SingleMember()
+    assert context.single.member.is_member()
 
 
-@when("its lease lapses, which {notice} notices, {times} and a batch is opened")
-def step_lapse(context, notice, times):
-    lone = context.lone
+@when("its lease lapses {times}, detected by {detection}, and a batch is opened")
+def step_lapse(context, times, detection):
+    single = context.single
     for _ in range({"once": 1, "twice": 2}[times]):
-        lone.now += LAPSE_S
-        if notice == "a tick":
-            lone.member.tick()
+        single.now += LAPSE_S
+        if detection == "a tick":
+            single.member.tick()
         else:
-            lone.member.note_freshness()
-        lone.member.freshen(lone.now)
-    lone.take(BatchOpened("w", 1, ("a1",), "", lone._offset - 1, "c"))
+            single.member.note_freshness()
+        single.member.freshen(single.now)
+    single.take(BatchOpened("w", 1, ("a1",), "", single._offset - 1, "c"))
 
 
-@then("it acknowledges the batch only after the hold and the longest deadline")
+@then("it acknowledges the batch only after the fixed delay and the longest deadline")
 def step_ack(context):
-    lone = context.lone
-    end = lone.now + ACK_HOLD_S + DEADLINE_S
-    while lone.now < end:
-        assert not lone.acked(), lone.now
-        lone.now += STEP_S
-    assert lone.acked()
+    single = context.single
+    end = single.now + ACK_HOLD_S + DEADLINE_S
+    while single.now < end:
+        assert not single.acked(), single.now
+        single.now += STEP_S
+    assert single.acked()
 
 
-@when("its process stands still for a minute")
-def step_stand_still(context):
-    lone = context.lone
-    assert lone.member.may_send("a1") is True
-    lone.now += 60.0
+@when("its process is paused for a minute")
+def step_pause(context):
+    single = context.single
+    assert single.member.may_send("a1") is True
+    single.now += 60.0
 
 
 @then("it sends to no VM until it has read the tail")
 def step_sends_nothing(context):
-    lone = context.lone
-    assert lone.member.may_send("a1").reason is Reason.NOT_SERVING
-    lone.member.freshen(lone.now - 1.0)
-    assert lone.member.may_send("a1").reason is Reason.NOT_SERVING
-    lone.member.follower._beat()
-    lone.member.freshen(lone.now + 0.1)
-    assert lone.member.may_send("a1") is True
+    single = context.single
+    assert single.member.may_send("a1").reason is Reason.NOT_SERVING
+    single.member.freshen(single.now - 1.0)
+    assert single.member.may_send("a1").reason is Reason.NOT_SERVING
+    single.member.follower._beat()
+    single.member.freshen(single.now + 0.1)
+    assert single.member.may_send("a1") is True
 
 
 @when("it has read the tail since")
 def step_read_tail(context):
-    lone = context.lone
-    lone.member.follower._beat()
-    lone.changes = 0
+    single = context.single
+    single.member.follower._beat()
+    single.changes = 0
     for _ in range(3):
-        lone.now += 0.1
-        lone.member.freshen(lone.now)
+        single.now += 0.1
+        single.member.freshen(single.now)
 
 
-@then("it tells those who wait that it may send again, once")
-def step_told(context):
-    assert context.lone.member.may_send("a1") is True
-    assert context.lone.changes == 1, context.lone.changes
+@then("it signals once that requests may be sent again")
+def step_signalled(context):
+    assert context.single.member.may_send("a1") is True
+    assert context.single.changes == 1, context.single.changes
--- a/tests/steps/membership.py
+++ b/tests/steps/membership.py
@@ -17,7 +17,7 @@
 FIXED = settings(max_examples=200, derandomize=True, deadline=None, database=None)
 
 
-@then("a peer that was heard is suspect after 3 heartbeats and down after 6")
+@then("a live peer without messages is suspect after 3 heartbeats and down after 6")
 def step_silence(context):
     members = Membership(["b"])
     assert members.heard("b", 7, 0.0).after is PeerState.ALIVE
@@ -44,7 +44,7 @@
     assert [change.after for change in members.sweep(64.5)] == [PeerState.SUSPECT]
 
 
-@then("generated messages never bring back an incarnation that was replaced")
+@then("generated messages never restore an incarnation that was replaced")
 def step_incarnations(context):
     @FIXED
     @given(st.lists(st.integers(1, 9), min_size=1))
