--- a/src/cardamomgrade/errors.py
+++ b/src/cardamomgrade/errors.py
@@ -1,20 +1,20 @@
-"""Exceptions of the package, one branch for each layer."""
+"""Exceptions of the package, one class for each layer."""
 
 
 class CardamomError(Exception):
-    """Base of every exception that the package raises."""
+    """Base class of all exceptions of the package."""
 
 
 class SettingsError(CardamomError):
-    """A settings file holds an unknown key or a value that is not allowed."""
+    """A settings file contains an unknown key or a value that is not allowed."""
 
 
 class BundleError(CardamomError):
-    """A bundle file cannot be read as a bundle."""
+    """A bundle cannot be parsed."""
 
 
 class RecordError(CardamomError):
-    """Bytes from the log cannot be read as a record."""
+    """Bytes from the log cannot be decoded as a record."""
 
 
 class ChartError(CardamomError):
@@ -22,15 +22,15 @@
 
 
 class WireError(CardamomError):
-    """A peer broke HTTP or closed before a message was whole."""
+    """A peer violated HTTP or closed the connection before a message was complete."""
 
 
 class ConnectError(WireError):
-    """A connection could not be opened; no byte was handed over."""
+    """A connection could not be opened; no byte was sent."""
 
 
 class FeedError(CardamomError):
-    """The log service did not answer, or refused."""
+    """The log service did not respond, or rejected a request."""
 
 
 class PlatformError(CardamomError):
@@ -38,4 +38,4 @@
 
 
 class PeerError(CardamomError):
-    """A peer failed authentication or broke the message protocol."""
+    """A peer failed authentication or violated the message protocol."""
--- a/src/cardamomgrade/feed.py
+++ b/src/cardamomgrade/feed.py
@@ -1,9 +1,10 @@
 """Client of the platform's log service.
 
-Protocol: ``GET /streams/NAME?from=F&limit=L&wait_ms=W`` answers a CBOR map ``tail``
-(next offset), ``earliest``, ``records`` (arrays of offset, time in ms, bytes); 410
-when ``from`` is no longer retained. ``POST /streams/NAME`` takes a CBOR array of
-byte strings and answers a CBOR map ``first`` with the offset of the first of them.
+Protocol: ``GET /streams/NAME?from=F&limit=L&wait_ms=W`` returns a CBOR map with
+``tail`` (the next offset), ``earliest`` (the first retained offset) and ``records``
+(arrays of offset, time in ms, bytes), or status 410 if ``from`` is no longer retained.
+``POST /streams/NAME`` takes a CBOR array of byte strings, one for each record, and
+returns a CBOR map with ``first``, the offset of the first of them.
 """
 
 import logging
@@ -33,7 +34,7 @@
 
 @event(1, logging.ERROR)
 class ReaderFailed:
-    """The reader of a stream raised an error; the process ends."""
+    """The handler of a stream's records raised an exception; the process exits."""
 
     stream: str
     offset: int
@@ -42,14 +43,17 @@
 
 @attrs.frozen
 class Appended:
-    """The offset that the log gave to an appended record."""
+    """The offset that the log assigned to an appended record."""
 
     offset: int
 
 
 @attrs.frozen
 class FeedStatus:
-    """What the last read showed; ``earliest`` is the first retained offset."""
+    """Bounds of the stream at the last read.
+
+    ``tail`` is the next offset, ``earliest`` the first one that is retained.
+    """
 
     tail: int
     earliest: int
@@ -57,22 +61,26 @@
 
 @attrs.define
 class Backoff:
-    """Delays between tries, in seconds, doubled up to a bound, with full jitter."""
+    """Exponential retry delays in seconds, with jitter.
+
+    Each is ``min_s / 2`` plus a random part of a bound that doubles from ``min_s`` up
+    to ``max_s``.
+    """
 
     rng: random.Random
-    low: float = RETRY_MIN_S
-    high: float = RETRY_MAX_S
-    _tries: int = 0
+    min_s: float = RETRY_MIN_S
+    max_s: float = RETRY_MAX_S
+    _attempts: int = 0
 
     def next(self):
-        """Return the delay before the next try."""
-        bound = min(self.high, self.low * 2**self._tries)
-        self._tries = min(self._tries + 1, 16)
-        return self.low / 2 + self.rng.random() * bound
+        """Return the delay before the next attempt."""
+        bound = min(self.max_s, self.min_s * 2**self._attempts)
+        self._attempts = min(self._attempts + 1, 16)
+        return self.min_s / 2 + self.rng.random() * bound
 
     def reset(self):
-        """Start again from the shortest delay."""
-        self._tries = 0
+        """Restart from the shortest delay."""
+        self._attempts = 0
 
 
 def log_request(stream, start, limit=READ_LIMIT_RECORDS, wait_ms=0):
@@ -88,13 +96,13 @@
 
 
 def parse_read(response):
-    """Return (FeedStatus, raw records) of a read's response body."""
+    """Return (FeedStatus, list of raw records) from the response to a read."""
     page = cbor2.loads(response.body)
     return FeedStatus(page["tail"], page["earliest"]), page["records"]
 
 
 def parse_append(response):
-    """Return the offset of the first appended record."""
+    """Return the offset of the first appended record from the response."""
     return cbor2.loads(response.body)["first"]
 
 
@@ -102,10 +110,16 @@
     """Reads one stream in order from an offset and appends to it.
 
     ``on_records(list of Logged)`` gets each record once, in offset order, whether it
-    was read here or handed on with ``accept``. ``on_fresh(sent_s)`` is called when a
-    read that was sent at ``sent_s`` has shown the tail and all before it has been
-    delivered. ``on_lost(earliest)`` is called when the next offset is not retained,
-    ``on_raw(raw)`` with each list of raw records that was new.
+    was read from the log or passed to ``accept``. An exception from it stops the loop.
+    Optional hooks:
+
+    - ``on_fresh(sent_s)`` is called when a read that was sent at ``sent_s`` has
+      returned the tail and all records before it have been delivered.
+    - ``on_lost(earliest)`` is called when the next offset is no longer retained.
+    - ``on_raw(raw)`` gets each list of raw records that were new.
+    - ``on_bad(offset, detail)`` is called for a record that cannot be decoded, or that
+      is of an unknown version or kind.
+    - ``rng`` is the random.Random of the retry delays.
     """
 
     def __init__(self, loop, net, address, stream, on_records, **hooks):
@@ -127,19 +141,19 @@
         self.reachable = False
 
     def start(self, offset=0):
-        """Begin reading at ``offset``."""
+        """Start reading at ``offset``."""
         self.next_offset = offset
         self._read()
 
     def _read(self):
-        sent = self._loop.now()
-        wait = READ_WAIT_MS if self.reachable else 0
-        req = log_request(self._stream, self.next_offset, wait_ms=wait)
+        sent_s = self._loop.now()
+        wait_ms = READ_WAIT_MS if self.reachable else 0
+        req = log_request(self._stream, self.next_offset, wait_ms=wait_ms)
         self._reader.request(
-            req, lambda res: self._read_done(res, sent), READ_TIMEOUT_S
+            req, lambda res: self._read_done(res, sent_s), READ_TIMEOUT_S
         )
 
-    def _read_done(self, result, sent):
+    def _read_done(self, result, sent_s):
         status = result.status if isinstance(result, HttpResponse) else 0
         if status == 410:
             self._on_lost(cbor2.loads(result.body)["earliest"])
@@ -152,27 +166,30 @@
         self.status, raw = parse_read(result)
         self.accept(raw)
         if self.next_offset >= self.status.tail:
-            self._on_fresh(sent)
+            self._on_fresh(sent_s)
         self._loop.call_later(0, self._read)
 
     def accept(self, raw):
-        """Take raw records [offset, time in ms, bytes]; skip what is known."""
-        batch, taken = [], []
+        """Deliver raw records [offset, time in ms, bytes].
+
+        Records other than the next one in offset order are skipped.
+        """
+        batch, new_items = [], []
         for item in raw:
             offset, time_ms, data = item
             if offset != self.next_offset:
                 continue
             self.next_offset = offset + 1
-            taken.append(item)
+            new_items.append(item)
             record = self._decode(offset, data)
             if record is not None:
                 batch.append(Logged(offset, time_ms, record))
-        if taken:
-            self._on_raw(taken)
+        if new_items:
+            self._on_raw(new_items)
         if batch:
-            self._deliver(batch)
+            self._call_handler(batch)
 
-    def _deliver(self, batch):
+    def _call_handler(self, batch):
         try:
             self._on_records(batch)
         except Exception as exc:
@@ -191,10 +208,10 @@
         return record
 
     def append(self, record, on_done=None):
-        """Append a record once; ``on_done(Appended | Refusal)`` tells the outcome.
+        """Append a record, without retries; call ``on_done(Appended | Refusal)``.
 
-        ``Reason.UNAVAILABLE``: the log does not hold the record. ``Reason.UNKNOWN``:
-        it may hold it, and only reading can tell.
+        The reason of a Refusal is ``UNAVAILABLE`` if the log does not hold the record,
+        or ``UNKNOWN`` if it may hold it, which only reading the stream can show.
         """
         self._queue.append((record, on_done or (lambda result: None)))
         if not self._appending:
@@ -225,7 +242,9 @@
 
 def _append_refusal(result):
     if isinstance(result, HttpResponse):
-        return Refusal(Reason.UNAVAILABLE, f"log answered {result.status}")
+        return Refusal(
+            Reason.UNAVAILABLE, f"the log service returned status {result.status}"
+        )
     if result.sent:
         return Refusal(Reason.UNKNOWN, result.detail)
     return Refusal(Reason.UNAVAILABLE, result.detail)
--- a/src/cardamomgrade/kinds.py
+++ b/src/cardamomgrade/kinds.py
@@ -1,12 +1,13 @@
-"""Numbers for the classes of a wire format."""
+"""Registration of message and record classes by their number on the wire."""
 
 import attrs
 
 
 def numbered(classes):
-    """Return ``kind(number)``, a decorator of frozen attrs classes.
+    """Return ``kind(number)``, a class decorator that registers a class in ``classes``.
 
-    It sets the class's ``KIND`` and files the class in the dict ``classes``.
+    It makes the class a frozen attrs class, sets its ``KIND`` to the number and adds
+    it to the dict ``classes`` under that number. Raises ValueError for a duplicate.
     """
 
     def kind(number):
--- a/src/cardamomgrade/records.py
+++ b/src/cardamomgrade/records.py
@@ -1,7 +1,12 @@
-"""Typed records of the log streams and their CBOR encoding.
+"""Record types of the log streams and their CBOR encoding.
 
-Wire form: a CBOR array ``[version, kind, fields]`` where ``fields`` is the array of
-the class's attributes in order. Sections nest as ``[name, [[option, value], ...]]``.
+Wire format: a CBOR array ``[version, kind, fields]``. ``kind`` is the number of the
+record type, ``fields`` the array of its attributes in order. A section is encoded as
+``[name, [[option, value], ...]]``.
+
+Terms: an entry is a process that routes requests; an incarnation numbers one run of it.
+A control plans maintenance and places tasks; ``control`` is the name of the one that
+appended a record. A fence is the offset of the record that permits an action.
 """
 
 import attrs
@@ -21,7 +26,7 @@
 
 @attrs.frozen
 class Section:
-    """One section of a bundle; options are (name, value) pairs sorted by name."""
+    """One section of a bundle; ``options`` are (name, value) pairs sorted by name."""
 
     name: str
     options: tuple = ()
@@ -38,7 +43,7 @@
 
 @_record(1)
 class BundleProposed:
-    """A bundle as the sections changed and removed since its parent."""
+    """Proposes a bundle, as the sections changed and removed relative to its parent."""
 
     version: int
     parent: bytes
@@ -50,7 +55,7 @@
 
 @_record(2)
 class BundleSigned:
-    """A sign-off of a proposed bundle by somebody other than its author."""
+    """Approves a proposed bundle; the signer must not be its author."""
 
     digest: bytes
     signer: str
@@ -58,7 +63,7 @@
 
 @_record(3)
 class BundleRolled:
-    """The order to put a signed bundle in force in place of its parent."""
+    """Puts a signed bundle in force in place of its parent."""
 
     digest: bytes
     operator: str
@@ -66,7 +71,7 @@
 
 @_record(10)
 class MemberJoined:
-    """An entry takes its seat; a higher incarnation replaces a lower one."""
+    """An entry joins in its seat; a higher incarnation replaces a lower one."""
 
     entry: str
     incarnation: int
@@ -76,7 +81,7 @@
 
 @_record(11)
 class MemberLeft:
-    """An entry leaves by its own word and holds no request."""
+    """An entry leaves voluntarily, with no request in flight."""
 
     entry: str
     incarnation: int
@@ -84,7 +89,7 @@
 
 @_record(12)
 class MemberGone:
-    """The platform's VM list no longer shows the VM of an entry."""
+    """An entry is removed because the platform no longer lists its VM."""
 
     entry: str
     incarnation: int
@@ -93,9 +98,10 @@
 
 @_record(20)
 class BatchOpened:
-    """Notice that VMs may drain; ``pool`` is set when they move to that pool.
+    """Announces that VMs are to be drained, in a round of a maintenance wave.
 
-    ``builds_on`` is the offset of the last record that the planner had folded.
+    ``pool`` names the pool that the VMs move to, or is empty. ``builds_on`` is the
+    offset of the last record that the planner had folded.
     """
 
     wave: str
@@ -108,7 +114,7 @@
 
 @_record(21)
 class BatchAcked:
-    """An entry knows of the batch opened at the offset ``batch``."""
+    """An entry has read the BatchOpened at the offset ``batch``."""
 
     entry: str
     incarnation: int
@@ -117,7 +123,7 @@
 
 @_record(22)
 class DrainStarted:
-    """Entries send nothing more to the VMs of the batch."""
+    """Entries must not send further requests to the VMs of the batch."""
 
     batch: int
     control: str
@@ -134,7 +140,7 @@
 
 @_record(24)
 class RebootOrdered:
-    """The right to reboot one VM; the record's offset is the fence."""
+    """Permits the reboot of one VM; the record's offset is the fence."""
 
     batch: int
     vm: str
@@ -143,7 +149,7 @@
 
 @_record(25)
 class VmJoined:
-    """A VM serves again after the reboot ordered at the offset ``fence``."""
+    """A VM is back in service after the reboot ordered at the offset ``fence``."""
 
     batch: int
     vm: str
@@ -153,7 +159,7 @@
 
 @_record(26)
 class BatchAborted:
-    """A batch is given up before its drain started."""
+    """A batch is cancelled before its drain has started."""
 
     batch: int
     reason: str
@@ -178,7 +184,10 @@
 
 @_record(30)
 class Snapshot:
-    """Part of a folded state through an offset; ``digest`` covers all parts."""
+    """One part of the state folded through the offset ``through``.
+
+    ``part`` counts from 0; ``digest`` is the SHA-256 of the data of all parts joined.
+    """
 
     through: int
     part: int
@@ -189,9 +198,9 @@
 
 @_record(40)
 class KeyClaimed:
-    """An entry asks to run the request that carries an idempotency key.
+    """An entry claims an idempotency key in order to run the request that carries it.
 
-    The key is remembered for ``memory_ms`` of the log's time, for every reader alike.
+    Every reader remembers the key for ``memory_ms`` of the log's time.
     """
 
     key: bytes
@@ -203,7 +212,7 @@
 
 @_record(41)
 class KeyReleased:
-    """The claimed request did not run; the key may be claimed again."""
+    """The request that claimed a key did not run; the key may be claimed again."""
 
     key: bytes
     request: str
@@ -211,7 +220,7 @@
 
 @_record(50)
 class TaskSubmitted:
-    """A team asks for a task; sizes are cores, MB and accelerators declared."""
+    """A team submits a task with its declared resources and expected run time."""
 
     task: str
     team: str
@@ -225,10 +234,10 @@
 
 @_record(51)
 class TaskPlaced:
-    """A task may start on a worker under a lease; the offset is the fence.
+    """Permits a task to start on a worker under a lease; the offset is the fence.
 
-    ``cores`` and ``memory_mb`` are the room held for it; ``builds_on`` is the offset
-    of the last record that the placer had folded.
+    ``cores`` and ``memory_mb`` are reserved for it. ``builds_on`` is the offset of the
+    last record that the placer had folded.
     """
 
     task: str
@@ -243,7 +252,7 @@
 
 @_record(52)
 class TaskRenewed:
-    """The worker reported the task as running; the lease runs on from here."""
+    """The worker reported the task as running; the lease restarts at this record."""
 
     task: str
     attempt: int
@@ -262,14 +271,14 @@
 
 @_record(54)
 class TaskCancelled:
-    """The team takes a task back."""
+    """The team cancels a task."""
 
     task: str
 
 
 @_record(55)
 class TaskRefused:
-    """A task can never run in its pool, for the stated reason."""
+    """A task is refused because it can never run in its pool."""
 
     task: str
     reason: str
@@ -286,7 +295,7 @@
 
 @attrs.frozen
 class Logged:
-    """A record as read from a stream: offset, log time in ms, record."""
+    """A record read from a stream, with its offset and its log time in ms."""
 
     offset: int
     time_ms: int
@@ -313,14 +322,16 @@
 def decode_record(data):
     """Return the record that ``data`` encodes, or an UnknownRecord.
 
-    Raises RecordError when the bytes are no record at all.
+    Raises RecordError if the bytes are not a valid record.
     """
     version, kind, fields = _unpack(data)
     if version != RECORD_VERSION or kind not in _CLASSES:
         return UnknownRecord(version, kind)
     cls = _CLASSES[kind]
     if not isinstance(fields, list) or len(fields) != len(attrs.fields(cls)):
-        raise RecordError(f"{cls.__name__}: wrong number of fields")
+        raise RecordError(
+            f"{cls.__name__}: the fields are not an array of the right length"
+        )
     try:
         record = cls(*fields)
     except (TypeError, ValueError, IndexError) as exc:
@@ -349,8 +360,8 @@
     except (cbor2.CBORError, ValueError, TypeError, OverflowError) as exc:
         raise RecordError(f"not CBOR: {exc}") from exc
     if not isinstance(parts, list) or len(parts) != 3:
-        raise RecordError("not an array of version, kind and fields")
+        raise RecordError("expected an array of version, kind and fields")
     version, kind, fields = parts
     if not isinstance(version, int) or not isinstance(kind, int):
-        raise RecordError("version and kind are not numbers")
+        raise RecordError("version and kind must be integers")
     return version, kind, fields
--- a/tests/feed.feature
+++ b/tests/feed.feature
@@ -1,12 +1,12 @@
 Feature: client of the log service
 
-  Scenario: records are delivered once and in order through faults
-    Given a feed of a log stand-in
-    When 30 records are appended while answers are lost and the log goes down
-    Then the feed delivers each kept record once, in offset order
-    And no append was called unavailable whose record the log holds
+  Scenario: records are delivered once and in order despite faults of the log
+    Given a feed of a simulated log
+    When 30 records are appended while responses are lost and the log has an outage
+    Then the feed delivers each stored record once, in offset order
+    And no append was reported as unavailable although the log holds its record
 
-  Scenario: a reader that fails ends its process
-    Given a feed whose reader raises an error
+  Scenario: an exception in the record handler ends the process
+    Given a feed whose record handler raises an exception
     When a record is appended
-    Then the loop ends with the status of an internal error
+    Then the loop exits with the status of an internal error
--- a/tests/steps/feed.py
+++ b/tests/steps/feed.py
@@ -9,9 +9,9 @@
 from cardamomgrade.standin import PlatformStandin
 from harness import Rig
 
-COUNT = 30
+RECORDS = 30
 STREAM = "tasks"
-DOWN_FROM, DOWN_TO = 15, 20
+OUTAGE_START, OUTAGE_END = 15, 20
 
 
 def start_feed(context, on_records):
@@ -24,13 +24,13 @@
     context.feed.start()
 
 
-@given("a feed of a log stand-in")
+@given("a feed of a simulated log")
 def step_feed(context):
-    context.got = []
-    start_feed(context, context.got.extend)
+    context.delivered = []
+    start_feed(context, context.delivered.extend)
 
 
-@given("a feed whose reader raises an error")
+@given("a feed whose record handler raises an exception")
 def step_failing(context):
     def fail(batch):
         raise ValueError("no such state")
@@ -38,12 +38,14 @@
     start_feed(context, fail)
 
 
-@when("{count:d} records are appended while answers are lost and the log goes down")
+@when(
+    "{count:d} records are appended while responses are lost and the log has an outage"
+)
 def step_appends(context, count):
     context.results = {}
     faults = context.platform.log.faults
     for number in range(count):
-        faults.log = "down" if DOWN_FROM <= number < DOWN_TO else "up"
+        faults.log = "down" if OUTAGE_START <= number < OUTAGE_END else "up"
         faults.lose_answers = number % 3 == 0
         name = f"t{number}"
         context.feed.append(
@@ -54,23 +56,23 @@
     faults.log, faults.lose_answers = "up", 0
 
 
-@then("the feed delivers each kept record once, in offset order")
+@then("the feed delivers each stored record once, in offset order")
 def step_delivered(context):
-    kept = context.platform.log.appends
-    context.rig.run_until(lambda: len(context.got) >= kept)
+    stored = context.platform.log.appends
+    context.rig.run_until(lambda: len(context.delivered) >= stored)
     context.rig.run_for(0.1)
-    assert [item.offset for item in context.got] == list(range(kept))
-    assert kept == COUNT - (DOWN_TO - DOWN_FROM)
+    assert [item.offset for item in context.delivered] == list(range(stored))
+    assert stored == RECORDS - (OUTAGE_END - OUTAGE_START)
 
 
-@then("no append was called unavailable whose record the log holds")
-def step_unavailable(context):
-    held = {item.record.task for item in context.got}
+@then("no append was reported as unavailable although the log holds its record")
+def step_outcomes(context):
+    stored = {item.record.task for item in context.delivered}
     for name, result in context.results.items():
         if isinstance(result, Refusal) and result.reason is Reason.UNAVAILABLE:
-            assert name not in held
+            assert name not in stored
         elif not isinstance(result, Refusal):
-            assert name in held
+            assert name in stored
 
 
 @when("a record is appended")
@@ -78,11 +80,11 @@
     context.feed.append(TaskCancelled("t"))
 
 
-@then("the loop ends with the status of an internal error")
+@then("the loop exits with the status of an internal error")
 def step_ends(context):
     try:
         context.rig.run_until(lambda: False, 5.0)
     except SystemExit as exc:
         assert exc.code == EXIT_INTERNAL
     else:
-        raise AssertionError("the loop went on")
+        raise AssertionError("the loop did not exit")
--- a/tests/steps/records.py
+++ b/tests/steps/records.py
@@ -7,8 +7,8 @@
 from cardamomgrade import records
 from cardamomgrade.errors import RecordError
 
-TRIES = 300
-FIXED = settings(max_examples=TRIES, derandomize=True, deadline=None, database=None)
+EXAMPLES = 300
+FIXED = settings(max_examples=EXAMPLES, derandomize=True, deadline=None, database=None)
 VALUES = {
     int: st.integers(0, 2**53),
     str: st.text(max_size=20),
@@ -27,7 +27,7 @@
 
 
 def any_record():
-    """Build a strategy from the attributes of every record class."""
+    """Return a strategy for records of every class, built from their attributes."""
     classes = [item for item in vars(records).values() if hasattr(item, "KIND")]
     return st.one_of([st.builds(cls, **field_values(cls)) for cls in classes])
 
