--- a/src/cardamomgrade/catchup.py
+++ b/src/cardamomgrade/catchup.py
@@ -1,4 +1,4 @@
-"""Fleet records from peers, for an entry that the log does not reach."""
+"""Exchange of fleet records between peers, for entries that cannot reach the log."""
 
 import attrs
 
@@ -15,7 +15,7 @@
 
 @attrs.define(eq=False)
 class _Pull:
-    """Records that are being fetched from a peer up to an offset."""
+    """A fetch of records from a peer, up to the offset ``target``."""
 
     peer: str
     target: int
@@ -24,9 +24,10 @@
 
 
 class CatchUp:
-    """Keeps records for peers and fetches those that this entry lacks.
+    """Serves recent records to peers and fetches missing ones from them.
 
-    ``send(peer, message)`` returns whether there is a link to the peer.
+    ``hooks`` is the MeshHooks of the entry. ``send(peer, message)`` returns whether
+    there is a link to the peer.
     """
 
     def __init__(self, loop, hooks, send):
@@ -34,65 +35,66 @@
         self._hooks = hooks
         self._send = send
         self._pull = None
-        self._refused_by = {}
+        self._missing_reported = {}
         self._ring = Ring()
 
     def keep(self, raw):
-        """Keep raw fleet records [offset, time in ms, bytes] for peers."""
+        """Store raw fleet records [offset, time in ms, bytes] for peers."""
         self._ring.add([RawRecord(*item) for item in raw])
 
     def answer(self, message):
-        """Return the answer to a peer's RecordsWanted."""
+        """Return the Records or RecordsMissing that answers a peer's RecordsWanted."""
         batch = self._ring.batch(message.offset)
         if batch is None:
             return RecordsMissing(message.stream, self._ring.earliest)
         return Records(message.stream, batch)
 
     def notice(self, peer, target):
-        """Note that a peer has read the stream up to ``target``.
+        """Plan a fetch, as a peer has read the stream up to ``target``.
 
-        The log gets a moment to bring the records before they are fetched.
+        It waits for PULL_DELAY_S, in which the records usually arrive from the log; an
+        entry that has read nothing yet fetches without that delay.
         """
         now = self._loop.now()
         if self._pull is not None and now < self._pull.expires_s:
             return
-        delay_s = PULL_DELAY_S if self._offset() else 0.0
+        delay_s = PULL_DELAY_S if self._own_offset() else 0.0
         self._pull = _Pull(peer, target, now, now + delay_s + PULL_TIMEOUT_S)
         self._loop.call_later(delay_s, self._fetch)
 
-    def _offset(self):
+    def _own_offset(self):
         return self._hooks.status().offset
 
     def _fetch(self):
-        pull, own = self._pull, self._offset()
+        pull, own_offset = self._pull, self._own_offset()
         if pull is None:
             return
         pull.expires_s = self._loop.now() + PULL_TIMEOUT_S
-        wanted = RecordsWanted(STREAM_FLEET, own)
-        if own >= pull.target or not self._send(pull.peer, wanted):
+        wanted = RecordsWanted(STREAM_FLEET, own_offset)
+        if own_offset >= pull.target or not self._send(pull.peer, wanted):
             self._pull = None
 
     def take(self, peer, message):
-        """Take records that a peer sent, and ask for more while some lack."""
-        before = self._offset()
+        """Deliver the records that a peer sent; request more until none are missing."""
+        before = self._own_offset()
         raw = [[item.offset, item.time_ms, item.data] for item in message.records]
         self._hooks.on_raw(message.stream, raw)
-        gained = self._offset() - before
+        count = self._own_offset() - before
         pull = self._pull
         if pull is None or pull.peer != peer:
             return
-        if gained <= 0:
+        if count <= 0:
             self._pull = None
             return
         behind_ms = int((self._loop.now() - pull.noticed_s) * MS_PER_S)
-        note(RecordsPulled(peer, message.stream, before, gained, behind_ms))
+        note(RecordsPulled(peer, message.stream, before, count, behind_ms))
         self._fetch()
 
     def missing(self, peer, message):
-        """Note that a peer no longer keeps the records that were asked for."""
+        """End the fetch, as the peer no longer stores the requested records."""
         self._pull = None
-        if self._refused_by.get(peer) != self._offset():
-            self._refused_by[peer] = self._offset()
-            wanted = self._offset()
+        if self._missing_reported.get(peer) != self._own_offset():
+            self._missing_reported[peer] = self._own_offset()
+            wanted = self._own_offset()
             note(RecordsNotKept(peer, message.stream, wanted, message.earliest))
         self._hooks.on_missing(message.stream, message.earliest)
--- a/src/cardamomgrade/replica.py
+++ b/src/cardamomgrade/replica.py
@@ -1,4 +1,4 @@
-"""A process's copy of the fleet state, folded from the log or from a snapshot."""
+"""Local copy of the fleet state, folded from the log or restored from a snapshot."""
 
 import attrs
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class Step:
-    """A record, the state after it, and the fold's Refusal or None."""
+    """A folded record, the state after it, and the fold's Refusal or None."""
 
     logged: object
     state: object
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Restored:
-    """The state was taken from a snapshot through an offset."""
+    """The state was restored from a snapshot of all records through an offset."""
 
     through: int
 
@@ -27,8 +27,11 @@
 class Replica:
     """Folds the fleet stream in offset order.
 
-    After ``lost`` nothing is folded until a whole snapshot was seen from which the
-    retained records go on, so that the state never falls behind what it was.
+    After ``lost``, records are buffered until there is a complete snapshot that reaches
+    at least to the first retained record and to the state held before. So the state
+    never goes back, and no record after the snapshot is skipped.
+    ``since_snapshot`` counts the records folded since the last complete snapshot, and
+    ``snapshot_offset`` is the offset of its first part, or -1.
     """
 
     def __init__(self):
@@ -36,23 +39,23 @@
         self.waiting = False
         self.since_snapshot = 0
         self.snapshot_offset = -1
-        self._from = 0
-        self._held = []
-        self._sets = {}
+        self._earliest = 0
+        self._buffer = []
+        self._incomplete = {}
 
     def lost(self, earliest):
-        """Begin again at the first retained offset."""
+        """Restart at the first retained offset and wait for a snapshot."""
         self.waiting = True
-        self._from = earliest
-        self._held = []
-        self._sets = {}
+        self._earliest = earliest
+        self._buffer = []
+        self._incomplete = {}
 
     def take(self, batch):
-        """Fold a list of Logged; return Step and Restored items in order."""
+        """Fold a list of Logged; return a list of Step and Restored items in order."""
         results = []
         for logged in batch:
             if self.waiting:
-                results += self._hold(logged)
+                results += self._buffer_record(logged)
             else:
                 results.append(self._fold(logged))
         return results
@@ -61,40 +64,43 @@
         folded = fold(self.state, logged)
         self.state = folded.state
         if isinstance(logged.record, Snapshot):
-            self._collect(logged, keep=False)
+            self._collect_part(logged, keep=False)
         else:
             self.since_snapshot += 1
         return Step(logged, folded.state, folded.refusal)
 
-    def _hold(self, logged):
-        self._held.append(logged)
+    def _buffer_record(self, logged):
+        self._buffer.append(logged)
         if not isinstance(logged.record, Snapshot):
             return []
-        parts = self._collect(logged, keep=True)
+        parts = self._collect_part(logged, keep=True)
         state = restore(parts) if parts else Refusal(Reason.UNAVAILABLE)
-        if not self._continues(state):
+        if not self._is_usable(state):
             return []
-        held, self._held = self._held, []
+        buffered, self._buffer = self._buffer, []
         self.waiting = False
         self.state = state
-        rest = [item for item in held if item.offset >= state.offset]
+        rest = [item for item in buffered if item.offset >= state.offset]
         self.since_snapshot = 0
         return [Restored(state.offset - 1), *(self._fold(item) for item in rest)]
 
-    def _continues(self, state):
+    def _is_usable(self, state):
         if isinstance(state, Refusal):
             return False
-        return state.offset >= max(self._from, self.state.offset)
+        return state.offset >= max(self._earliest, self.state.offset)
 
-    def _collect(self, logged, keep):
-        """Return the parts of the snapshot that a record completes, or none."""
+    def _collect_part(self, logged, keep):
+        """Add a snapshot part; return all parts if it completes a snapshot, else [].
+
+        The parts are None unless ``keep`` is true.
+        """
         record = logged.record
         key = (record.through, record.digest, record.parts)
-        first, parts = self._sets.setdefault(key, (logged.offset, {}))
+        first_offset, parts = self._incomplete.setdefault(key, (logged.offset, {}))
         parts[record.part] = record if keep else None
         if len(parts) < record.parts:
             return []
-        del self._sets[key]
+        del self._incomplete[key]
         self.since_snapshot = 0
-        self.snapshot_offset = first
+        self.snapshot_offset = first_offset
         return list(parts.values())
--- a/src/cardamomgrade/ring.py
+++ b/src/cardamomgrade/ring.py
@@ -1,4 +1,4 @@
-"""The newest raw records of a stream, kept to be handed on to peers."""
+"""Buffer of the newest raw records of a stream, from which peers are served."""
 
 from collections import deque
 
@@ -9,48 +9,51 @@
 
 
 class Ring:
-    """Raw records in offset order without gaps, bounded in number and bytes."""
+    """Consecutive raw records in offset order, limited in number and total bytes."""
 
-    def __init__(self, records=RING_RECORDS, size=RING_BYTES):
-        self._limit = records
-        self._size_limit = size
+    def __init__(self, records_max=RING_RECORDS, bytes_max=RING_BYTES):
+        self._records_max = records_max
+        self._bytes_max = bytes_max
         self._records = deque()
-        self._size = 0
+        self._bytes = 0
 
     @property
     def earliest(self):
-        """The offset of the first record kept, or 0 when none is."""
+        """The offset of the first record, or 0 if there is none."""
         return self._records[0].offset if self._records else 0
 
     @property
     def next_offset(self):
-        """The offset after the last record kept, or 0 when none is."""
+        """The offset after the last record, or 0 if there is none."""
         return self._records[-1].offset + 1 if self._records else 0
 
     def add(self, records):
-        """Keep records; one that does not follow the last starts anew."""
+        """Append records and drop the oldest ones beyond the limits.
+
+        A record that does not follow the last one discards all records before it.
+        """
         for record in records:
             if self._records and record.offset != self.next_offset:
                 self._records.clear()
-                self._size = 0
+                self._bytes = 0
             self._records.append(record)
-            self._size += len(record.data)
-        while len(self._records) > self._limit or self._size > self._size_limit:
-            self._size -= len(self._records.popleft().data)
+            self._bytes += len(record.data)
+        while len(self._records) > self._records_max or self._bytes > self._bytes_max:
+            self._bytes -= len(self._records.popleft().data)
 
     def batch(self, offset):
-        """Return the records from an offset, as many as one message may hold.
+        """Return a tuple of the records from an offset on, limited to one message.
 
-        None means that the offset is no longer kept.
+        Returns None if the offset is before the first record.
         """
         if offset < self.earliest:
             return None
-        found, size = [], 0
+        selected, size = [], 0
         start = offset - self.earliest
         for index in range(start, min(start + BATCH_RECORDS, len(self._records))):
             record = self._records[index]
             size += len(record.data)
-            if found and size > BATCH_BYTES:
+            if selected and size > BATCH_BYTES:
                 break
-            found.append(record)
-        return tuple(found)
+            selected.append(record)
+        return tuple(selected)
--- a/src/cardamomgrade/session.py
+++ b/src/cardamomgrade/session.py
@@ -1,4 +1,4 @@
-"""An operator's session with the log service and with operators' addresses."""
+"""Clients of an operator's command: of the log service and of operators' addresses."""
 
 import json
 
@@ -13,12 +13,15 @@
 from .wire import HttpResponse
 
 CATCH_UP_S = 8.0
-VERDICT_S = 15.0
+SUBMIT_TIMEOUT_S = 15.0
 OPS_TIMEOUT_S = 3.0
 
 
 class LogSession:
-    """The fleet as the log tells it, on a loop that runs only while it is asked."""
+    """Fleet state read from the log.
+
+    The loop runs only during ``catch_up`` and ``submit``.
+    """
 
     def __init__(self, address):
         self._loop = Loop()
@@ -37,7 +40,10 @@
         return self._follower.state
 
     def catch_up(self):
-        """Fold the log up to its tail; raise FeedError when it does not answer."""
+        """Fold the log up to its tail.
+
+        Raises FeedError if the log does not answer or holds no snapshot to start from.
+        """
         self._follower.start()
         if self._loop.run_until(self._follower.fresh, CATCH_UP_S):
             return
@@ -46,21 +52,22 @@
         raise FeedError("the log does not answer")
 
     def submit(self, record):
-        """Append a record; return the fold's Refusal, or the Step read back.
+        """Append a record; return the Step read back, or a Refusal of the append.
 
-        A Refusal with ``Reason.UNAVAILABLE`` or ``UNKNOWN`` is about the append.
+        The Refusal has the reason ``UNAVAILABLE`` or ``UNKNOWN``. Whether the fold
+        refused the record is in the Step's ``refusal``.
         """
         verdicts = []
         self._follower.submit(record, verdicts.append)
-        if not self._loop.run_until(lambda: bool(verdicts), VERDICT_S):
+        if not self._loop.run_until(lambda: bool(verdicts), SUBMIT_TIMEOUT_S):
             return Refusal(Reason.UNKNOWN, "not read back in time")
         return verdicts[0]
 
 
 def ask_ops(addresses, key, target):
-    """Return [(address, value)] of a page at several operators' addresses.
+    """Fetch a page from several operators' addresses; return [(address, value)].
 
-    A value is the page's data, or a PeerError that tells why there is none.
+    A value is the data of the JSON page, or a PeerError with the reason of the failure.
     """
     loop = Loop()
     net = Net(loop)
@@ -69,14 +76,14 @@
         client = OpsClient(loop, net, address, key)
         client.get(
             target,
-            lambda result, who=address: answers.update({who: result}),
+            lambda result, source=address: answers.update({source: result}),
             OPS_TIMEOUT_S,
         )
     loop.run_until(lambda: len(answers) == len(set(addresses)), 2 * OPS_TIMEOUT_S)
-    return [(item, _page(answers.get(item))) for item in addresses]
+    return [(item, _parse_page(answers.get(item))) for item in addresses]
 
 
-def _page(result):
+def _parse_page(result):
     if isinstance(result, PeerError):
         return result
     if not isinstance(result, HttpResponse):
@@ -84,7 +91,7 @@
     try:
         data = json.loads(result.body)
     except ValueError:
-        return PeerError(f"answered {result.status} without JSON")
+        return PeerError(f"returned status {result.status} without JSON")
     if result.status != 200:
-        return PeerError(f"answered {result.status}: {data.get('detail', '')}")
+        return PeerError(f"returned status {result.status}: {data.get('detail', '')}")
     return data
--- a/src/cardamomgrade/snapshot.py
+++ b/src/cardamomgrade/snapshot.py
@@ -1,9 +1,8 @@
 """Snapshots of a FleetState as records of its own stream.
 
-A snapshot is a sequence of CBOR items, compressed and cut into parts; it is written
-and read item by item to save memory. The digest of the compressed bytes stands in
-every part, so that parts of two snapshots, or parts that were changed, never make up
-a state.
+A snapshot is a sequence of CBOR items, compressed and split into parts. It is encoded
+and decoded item by item to save memory. Every part contains the digest of all the
+compressed bytes, so that parts of different snapshots and altered parts are rejected.
 """
 
 import hashlib
@@ -33,31 +32,37 @@
 
 
 def snapshot_records(state):
-    """Return the Snapshot records of a state, which is that through ``through``."""
+    """Return the list of Snapshot records of a state.
+
+    Their ``through`` is the offset of the last record folded into the state.
+    """
     compressor = zlib.compressobj(COMPRESSION_LEVEL)
-    whole = b"".join(compressor.compress(cbor2.dumps(item)) for item in _pack(state))
-    whole += compressor.flush()
-    digest = hashlib.sha256(whole).digest()
-    pieces = [
-        whole[start : start + PART_BYTES] for start in range(0, len(whole), PART_BYTES)
+    compressed = b"".join(
+        compressor.compress(cbor2.dumps(item)) for item in _pack(state)
+    )
+    compressed += compressor.flush()
+    digest = hashlib.sha256(compressed).digest()
+    chunks = [
+        compressed[start : start + PART_BYTES]
+        for start in range(0, len(compressed), PART_BYTES)
     ]
     return [
-        Snapshot(state.offset - 1, part, len(pieces), digest, data)
-        for part, data in enumerate(pieces)
+        Snapshot(state.offset - 1, part, len(chunks), digest, data)
+        for part, data in enumerate(chunks)
     ]
 
 
 def restore(parts):
-    """Return the FleetState of a snapshot's parts in any order.
+    """Return the FleetState from the parts of a snapshot, given in any order.
 
-    A Refusal (BAD_VALUE) tells that parts are missing, changed, of several snapshots
-    or of another release.
+    Returns a Refusal (BAD_VALUE) if parts are missing, altered, from different
+    snapshots or in the format of another release.
     """
-    whole = _join(parts)
-    if isinstance(whole, Refusal):
-        return whole
+    compressed = _join(parts)
+    if isinstance(compressed, Refusal):
+        return compressed
     try:
-        state = _unpack(io.BytesIO(_decompress(whole)))
+        state = _unpack(io.BytesIO(_decompress(compressed)))
     except (
         BundleError,
         cbor2.CBORError,
@@ -68,42 +73,48 @@
         TypeError,
         ValueError,
     ) as exc:
-        return Refusal(Reason.BAD_VALUE, f"not a state: {exc!r}")
+        return Refusal(Reason.BAD_VALUE, f"cannot decode the state: {exc!r}")
     if state.offset != parts[0].through + 1:
-        return Refusal(Reason.BAD_VALUE, "the state is of another offset")
+        return Refusal(
+            Reason.BAD_VALUE, "the offset of the state does not match the parts"
+        )
     return state
 
 
 def _join(parts):
-    """Return the compressed bytes of a whole set of parts, or a Refusal."""
+    """Return the compressed bytes of a complete set of parts, or a Refusal."""
     if not parts:
-        return Refusal(Reason.BAD_VALUE, "no parts")
+        return Refusal(Reason.BAD_VALUE, "the snapshot has no parts")
     first = parts[0]
     by_number = {part.part: part for part in parts}
     for part in parts:
         same = (part.through, part.digest, part.parts)
         if same != (first.through, first.digest, first.parts):
-            return Refusal(Reason.BAD_VALUE, "parts of several snapshots")
+            return Refusal(Reason.BAD_VALUE, "the parts are from different snapshots")
     if sorted(by_number) != list(range(first.parts)):
         return Refusal(
-            Reason.BAD_VALUE, f"{len(by_number)} of {first.parts} parts are there"
+            Reason.BAD_VALUE,
+            f"only {len(by_number)} of {first.parts} parts are present",
         )
-    whole = b"".join(by_number[number].data for number in range(first.parts))
-    if hashlib.sha256(whole).digest() != first.digest:
-        return Refusal(Reason.BAD_VALUE, "the digest does not match")
-    return whole
+    compressed = b"".join(by_number[number].data for number in range(first.parts))
+    if hashlib.sha256(compressed).digest() != first.digest:
+        return Refusal(Reason.BAD_VALUE, "the digest does not match the data")
+    return compressed
 
 
-def _decompress(whole):
+def _decompress(compressed):
     stream = zlib.decompressobj()
-    data = stream.decompress(whole, STATE_BYTES_MAX)
+    data = stream.decompress(compressed, STATE_BYTES_MAX)
     if not stream.eof:
-        raise ValueError("cut short or too large")
+        raise ValueError("compressed data is truncated or the state is too large")
     return data
 
 
 def _pack(state):
-    """Yield a state as plain values, in an order that does not depend on history."""
+    """Yield a state as plain values.
+
+    Their order does not depend on the order in which the state was built.
+    """
     bundle = state.bundle
     groups = (
         bundle.each_section() if bundle else (),
@@ -113,14 +124,14 @@
         (state.batches[offset] for offset in sorted(state.batches)),
         (state.retired[name] for name in sorted(state.retired)),
     )
-    yield [FORMAT, *(getattr(state, name) for name in _PLAIN)]
+    yield [FORMAT, *(getattr(state, name) for name in _SCALAR_FIELDS)]
     for group, pack in zip(groups, _PACKERS, strict=True):
         for item in group:
             yield pack(item)
         yield None
 
 
-_PLAIN = (
+_SCALAR_FIELDS = (
     "offset",
     "time_ms",
     "bundle_offset",
@@ -132,23 +143,23 @@
 
 
 def _unpack(stream):
-    """Return the FleetState of a stream of CBOR items."""
-    read = partial(cbor2.load, stream)
-    form, *plain = read()
-    if form != FORMAT:
-        raise ValueError(f"format {form}")
-    sections = (_unpack_section(values) for values in iter(read, None))
+    """Return the FleetState from a byte stream of CBOR items."""
+    read_item = partial(cbor2.load, stream)
+    format_number, *scalars = read_item()
+    if format_number != FORMAT:
+        raise ValueError(f"unknown snapshot format {format_number}")
+    sections = (_unpack_section(values) for values in iter(read_item, None))
     bundle = None
     first = next(sections, None)
     if first is not None:
         bundle = bundle_from_sections(itertools.chain([first], sections), "snapshot")
-    proposals = [_unpack_proposal(values) for values in iter(read, None)]
-    members = [Member(*values) for values in iter(read, None)]
-    vms = Inventory().replace([_unpack_vm(values) for values in iter(read, None)])
-    batches = [_unpack_batch(values) for values in iter(read, None)]
-    retired = [RetiredVm(*values) for values in iter(read, None)]
+    proposals = [_unpack_proposal(values) for values in iter(read_item, None)]
+    members = [Member(*values) for values in iter(read_item, None)]
+    vms = Inventory().replace([_unpack_vm(values) for values in iter(read_item, None)])
+    batches = [_unpack_batch(values) for values in iter(read_item, None)]
+    retired = [RetiredVm(*values) for values in iter(read_item, None)]
     return FleetState(
-        **dict(zip(_PLAIN, plain, strict=True)),
+        **dict(zip(_SCALAR_FIELDS, scalars, strict=True)),
         bundle=bundle,
         proposals={item.digest: item for item in proposals},
         members={item.entry: item for item in members},
@@ -194,9 +205,9 @@
 
 
 def _unpack_vm(values):
-    vm, pool, *plain, rounds = values
+    vm, pool, *scalars, rounds = values
     done = tuple(RoundDone(*item) for item in rounds)
-    return VmState(sys.intern(vm), sys.intern(pool), *plain, done)
+    return VmState(sys.intern(vm), sys.intern(pool), *scalars, done)
 
 
 def _pack_batch(batch):
--- a/tests/snapshot.feature
+++ b/tests/snapshot.feature
@@ -1,10 +1,10 @@
-Feature: snapshot
+Feature: snapshots of the fleet state
 
-  Scenario: a snapshot and the tail are as good as all records
-    Then generated histories go on from a snapshot at any cut as from all records
+  Scenario: a snapshot and the later records give the same state as all records
+    Then generated histories continued from a snapshot at any offset give the same state
 
-  Scenario: two snapshots at once do no harm
+  Scenario: snapshot records in the stream do not change the state, even of two at once
     Then generated histories with snapshot records fold to the same state
 
-  Scenario: a torn or foreign snapshot is refused
-    Then generated losses and changes of parts are refused
+  Scenario: an incomplete, altered or mixed snapshot is refused
+    Then snapshots with a generated loss or alteration of a part are refused
--- a/tests/steps/snapshot.py
+++ b/tests/steps/snapshot.py
@@ -10,26 +10,26 @@
 from cardamomgrade.records import decode_record, encode_record, Logged
 from cardamomgrade.refusal import Refusal
 
-TRIES = 50
-FIXED = settings(max_examples=TRIES, derandomize=True, deadline=None, database=None)
+EXAMPLES = 50
+FIXED = settings(max_examples=EXAMPLES, derandomize=True, deadline=None, database=None)
 PART_BYTES = 100
-CUTS = st.integers(0, 70)
+CUT_OFFSETS = st.integers(0, 70)
 
 
 def parts_of(state):
-    """Return the parts of a state, cut small and read back from their bytes."""
-    usual, snapshot.PART_BYTES = snapshot.PART_BYTES, PART_BYTES
+    """Return the parts of a state's snapshot, in small parts, encoded and decoded."""
+    default, snapshot.PART_BYTES = snapshot.PART_BYTES, PART_BYTES
     try:
         parts = snapshot.snapshot_records(state)
     finally:
-        snapshot.PART_BYTES = usual
+        snapshot.PART_BYTES = default
     return [decode_record(encode_record(part)) for part in parts]
 
 
-@then("generated histories go on from a snapshot at any cut as from all records")
+@then("generated histories continued from a snapshot at any offset give the same state")
 def step_any_cut(context):
     @FIXED
-    @given(HISTORY_CHOICES, CUTS, st.randoms(use_true_random=False))
+    @given(HISTORY_CHOICES, CUT_OFFSETS, st.randoms(use_true_random=False))
     def check(choices, cut, rng):
         log = history(choices)
         before = fold_all(FleetState(), log.logged[:cut])
@@ -46,7 +46,7 @@
 @then("generated histories with snapshot records fold to the same state")
 def step_in_stream(context):
     @FIXED
-    @given(HISTORY_CHOICES, CUTS)
+    @given(HISTORY_CHOICES, CUT_OFFSETS)
     def check(choices, cut):
         log = history(choices)
         before = fold_all(FleetState(), log.logged[:cut])
@@ -60,7 +60,7 @@
     check()
 
 
-@then("generated losses and changes of parts are refused")
+@then("snapshots with a generated loss or alteration of a part are refused")
 def step_torn(context):
     @FIXED
     @given(
