--- a/tests/steps/slots.py
+++ b/tests/steps/slots.py
@@ -1,4 +1,4 @@
-"""Steps for the slots module: ledgers over a network that loses and repeats."""
+"""Steps for the slots module: ledgers whose messages may be lost or repeated."""
 
 import attrs
 from behave import given, then, when
@@ -16,7 +16,7 @@
 SEATS = ("a", "b", "c")
 SLOTS = {"x": 4, "y": 5}
 SLICE_S = 0.125
-REPEATED = 0.3
+REPEAT_PROBABILITY = 0.3
 ANY = tuple(sorted(SLOTS))
 FIXED = settings(max_examples=200, derandomize=True, deadline=None, database=None)
 LONG = settings(FIXED, max_examples=200, stateful_step_count=60)
@@ -26,35 +26,45 @@
 
 @attrs.define(eq=False)
 class Node:
-    """One incarnation with the start times of its running requests."""
+    """One incarnation and its running requests.
+
+    ``running`` holds (endpoint, start time). ``paused_at`` is the time since which the
+    process is paused, or None.
+    """
 
     ledger: slots.SlotLedger
     running: list = attrs.field(factory=list)
-    frozen: float | None = None
+    paused_at: float | None = None
 
 
 class Cluster:
-    """Ledgers of all incarnations and the messages between them."""
+    """The ledgers of several seats and the messages between them.
+
+    ``replaced_node`` is one replaced incarnation that may run again after a pause.
+    ``orphaned`` holds the requests of other ended incarnations, which run until their
+    deadline. Messages between seats a and b are lost when either incarnation is in
+    ``isolated``. ``busy`` holds the seats that start requests whenever they can.
+    """
 
     def __init__(self, seats=SEATS, endpoints=SLOTS):
         self.now = 0.0
         self.seats, self.endpoints = seats, endpoints
-        self.flying, self.gone, self.nodes = [], [], {}
-        self.zombie = None
+        self.in_flight, self.orphaned, self.nodes = [], [], {}
+        self.replaced_node = None
         self.busy = set()
-        self.cut = set()
-        self.born = 0
+        self.isolated = set()
+        self.last_incarnation = 0
         for seat in seats:
             self.start(seat)
 
     def start(self, seat, first=False):
-        self.born += 1
-        born = self.born
+        self.last_incarnation += 1
+        sender = self.last_incarnation
 
         def send(peer, incarnation, message):
-            self.flying.append((seat, born, peer, incarnation, message))
+            self.in_flight.append((seat, sender, peer, incarnation, message))
 
-        ledger = slots.SlotLedger(seat, born, lambda: self.now, send)
+        ledger = slots.SlotLedger(seat, sender, lambda: self.now, send)
         node = self.nodes[seat] = Node(ledger)
         ledger.configure(self.endpoints, self.seats, DEADLINE_S)
         for peer in self.seats:
@@ -67,44 +77,47 @@
     def meet(self, one, other):
         for near, far in ((one, other), (other, one)):
             node, peer = self.nodes[near], self.nodes[far]
-            if node.frozen is None and peer.frozen is None:
+            if node.paused_at is None and peer.paused_at is None:
                 node.ledger.learn(far, peer.ledger.incarnation)
 
     def all_nodes(self):
-        return [*self.nodes.values(), *([self.zombie] if self.zombie else [])]
+        return [
+            *self.nodes.values(),
+            *([self.replaced_node] if self.replaced_node else []),
+        ]
 
     def deliver(self, index):
-        seat, born, peer, incarnation, message = self.flying[index]
-        if {born, incarnation} & self.cut and {seat, peer} == {"a", "b"}:
+        seat, sender, peer, incarnation, message = self.in_flight[index]
+        if {sender, incarnation} & self.isolated and {seat, peer} == {"a", "b"}:
             return
         for node in self.all_nodes():
             ledger = node.ledger
             addressed = (ledger.seat, ledger.incarnation) == (peer, incarnation)
-            if addressed and node.frozen is None:
-                ledger.receive(seat, born, message)
+            if addressed and node.paused_at is None:
+                ledger.receive(seat, sender, message)
 
     def flush(self):
         for _ in range(200):
-            if not self.flying:
+            if not self.in_flight:
                 return
             self.deliver(0)
-            self.flying.pop(0)
+            self.in_flight.pop(0)
 
     def scramble(self, rng, loss):
-        """Deliver in any order; some messages are lost, some stay to come again."""
-        batch, self.flying = self.flying, []
+        """Deliver in any order, lose some messages and keep some for a repetition."""
+        batch, self.in_flight = self.in_flight, []
         rng.shuffle(batch)
         for item in batch:
             if rng.random() >= loss:
-                self.flying.insert(0, item)
+                self.in_flight.insert(0, item)
                 self.deliver(0)
-                self.flying.pop(0)
-                if rng.random() < REPEATED:
-                    self.flying.append(item)
+                self.in_flight.pop(0)
+                if rng.random() < REPEAT_PROBABILITY:
+                    self.in_flight.append(item)
 
     def fill(self, node):
         """Start all the requests that the tokens of a node allow."""
-        if node.frozen is None:
+        if node.paused_at is None:
             for endpoint in self.endpoints:
                 while self.take(node, endpoint):
                     pass
@@ -113,10 +126,12 @@
         """End requests at their deadline; a paused entry cannot release tokens."""
         for node in self.all_nodes():
             for request in list(node.running):
-                if self.now - request[1] >= DEADLINE_S and node.frozen is None:
+                if self.now - request[1] >= DEADLINE_S and node.paused_at is None:
                     node.running.remove(request)
                     node.ledger.give_back(request[0])
-        self.gone = [item for item in self.gone if self.now - item[1] < DEADLINE_S]
+        self.orphaned = [
+            item for item in self.orphaned if self.now - item[1] < DEADLINE_S
+        ]
 
     def run(self, seconds, flush=False):
         for _ in range(round(seconds / SLICE_S)):
@@ -125,7 +140,7 @@
             for seat in self.busy:
                 self.fill(self.nodes[seat])
             for node in self.all_nodes():
-                if node.frozen is None:
+                if node.paused_at is None:
                     node.ledger.tick()
             if flush:
                 self.flush()
@@ -138,15 +153,15 @@
 
     def replace(self, seat):
         old = self.nodes[seat]
-        if old.frozen is not None and self.zombie is None:
-            self.zombie = old
+        if old.paused_at is not None and self.replaced_node is None:
+            self.replaced_node = old
         else:
-            self.gone.extend(old.running)
+            self.orphaned.extend(old.running)
         return self.start(seat)
 
     def confirm(self, node, peer):
-        """Exchange a heartbeat; a peer that knows better says so."""
-        if node.frozen is not None or peer.frozen is not None:
+        """Send a heartbeat of ``node``; the peer confirms or supersedes it."""
+        if node.paused_at is not None or peer.paused_at is not None:
             return
         me, other = node.ledger, peer.ledger
         other.learn(me.seat, me.incarnation)
@@ -156,20 +171,20 @@
             me.supersede()
 
     def load(self, endpoint):
-        """Return requests that may run and tokens that may be used."""
-        total = sum(name == endpoint for name, _ in self.gone)
+        """Return the number of requests that may run plus that of usable tokens."""
+        total = sum(name == endpoint for name, _ in self.orphaned)
         for node in self.all_nodes():
             running = [item for item in node.running if item[0] == endpoint]
-            if node is self.zombie:
+            if node is self.replaced_node:
                 running = [x for x in running if self.now - x[1] < DEADLINE_S]
             total += len(running)
-            if node.frozen is None:
+            if node.paused_at is None:
                 total += max(0, node.ledger.available(endpoint))
         return total
 
 
 class LedgerMachine(RuleBasedStateMachine):
-    """Any order of demand, loss, repetition, crashes, pauses and replacement."""
+    """Runs demand, loss, repetition, crashes, pauses and replacements in any order."""
 
     def __init__(self):
         super().__init__()
@@ -179,32 +194,32 @@
     @rule(seat=seat_names, endpoint=endpoint_names, count=st.integers(1, 6))
     def take(self, seat, endpoint, count):
         node = self.cluster.nodes[seat]
-        if node.frozen is None:
+        if node.paused_at is None:
             for _ in range(count):
                 self.cluster.take(node, endpoint)
 
     @rule(seat=seat_names, data=st.data())
     def finish(self, seat, data):
         node = self.cluster.nodes[seat]
-        if node.running and node.frozen is None:
+        if node.running and node.paused_at is None:
             index = data.draw(st.integers(0, len(node.running) - 1))
             node.ledger.give_back(node.running.pop(index)[0])
 
     @rule(seat=seat_names, count=st.integers(0, 9))
     def want(self, seat, count):
-        if self.cluster.nodes[seat].frozen is None:
+        if self.cluster.nodes[seat].paused_at is None:
             self.cluster.nodes[seat].ledger.want(ANY, count)
 
     @rule(seat=seat_names, rng=st.randoms(), loss=st.sampled_from([0, 0, 0.3]))
     def borrow(self, seat, rng, loss):
-        """Take every token that can be had, over a bad network."""
+        """Take every token that can be borrowed over a network that loses messages."""
         node = self.cluster.nodes[seat]
         for _ in range(4):
             self.cluster.fill(node)
-            if node.frozen is None:
+            if node.paused_at is None:
                 node.ledger.want(ANY, 9)
             self.cluster.scramble(rng, loss)
-        if node.frozen is None:
+        if node.paused_at is None:
             node.ledger.want(ANY, 0)
 
     @rule(rng=st.randoms(), loss=st.sampled_from([0, 0.3, 1]))
@@ -214,7 +229,7 @@
     @rule(seat=seat_names)
     def finish_all(self, seat):
         node = self.cluster.nodes[seat]
-        while node.running and node.frozen is None:
+        while node.running and node.paused_at is None:
             node.ledger.give_back(node.running.pop()[0])
 
     @rule(seconds=st.sampled_from([0.25, 0.5, 1.0, 3.0, 6.0]), flush=st.booleans())
@@ -232,21 +247,25 @@
     @rule(seat=seat_names)
     def freeze(self, seat):
         node = self.cluster.nodes[seat]
-        node.frozen = self.cluster.now if node.frozen is None else node.frozen
+        node.paused_at = self.cluster.now if node.paused_at is None else node.paused_at
 
     @rule(seat=seat_names)
     def wake(self, seat):
-        self.cluster.nodes[seat].frozen = None
+        self.cluster.nodes[seat].paused_at = None
 
     @rule()
     def wake_replaced(self):
-        old = self.cluster.zombie
-        if old and old.frozen and self.cluster.now - old.frozen > slots.PAUSE_LIMIT_S:
-            old.frozen = None
+        old = self.cluster.replaced_node
+        if (
+            old
+            and old.paused_at
+            and self.cluster.now - old.paused_at > slots.PAUSE_LIMIT_S
+        ):
+            old.paused_at = None
 
     @rule(seat=seat_names, peer=seat_names, replaced=st.booleans())
     def heartbeat(self, seat, peer, replaced):
-        node = self.cluster.zombie if replaced else self.cluster.nodes[seat]
+        node = self.cluster.replaced_node if replaced else self.cluster.nodes[seat]
         peer = self.cluster.nodes[peer]
         if node and node.ledger.seat != peer.ledger.seat:
             self.cluster.confirm(node, peer)
@@ -259,7 +278,11 @@
 
 
 def random_cluster(steps):
-    """Return a cluster after generated demand with losses, then all idle."""
+    """Return a cluster that is idle after generated demand, replacements and losses.
+
+    Each step is (seat, endpoint, tokens needed, fault); fault 1 to 3 drops that many
+    messages, 2 also holds up delivery and 3 also replaces the seat.
+    """
     cluster = Cluster()
     cluster.run(DEADLINE_S + slots.PAUSE_LIMIT_S + 1, flush=True)
     for seat, endpoint, count, lost in steps:
@@ -269,7 +292,7 @@
         if lost == 3:
             cluster.replace(seat)
         if lost:
-            cluster.flying = cluster.flying[lost:]
+            cluster.in_flight = cluster.in_flight[lost:]
         cluster.run(SLICE_S, flush=lost != 2)
     for seat in SEATS:
         cluster.nodes[seat].ledger.want(ANY, 0)
@@ -283,7 +306,7 @@
 )
 
 
-@then("generated deals of slot tokens are whole, even and grow with the slots")
+@then("generated assignments of slot tokens are complete, even and grow with the slots")
 def step_deals(context):
     @FIXED
     @generate(st.text(max_size=9), st.integers(0, 64), st.integers(1, 14))
@@ -381,9 +404,9 @@
 @when("slot seat a pauses for 10 seconds")
 def step_pause(context):
     cluster = context.slot_cluster
-    cluster.nodes["a"].frozen = cluster.now
+    cluster.nodes["a"].paused_at = cluster.now
     cluster.run(10)
-    cluster.nodes["a"].frozen = None
+    cluster.nodes["a"].paused_at = None
 
 
 @when("all slot seats pause for 10 seconds")
@@ -391,7 +414,7 @@
     context.slot_cluster.now += 10
 
 
-@then("slot seat a has tokens again only after an old peer confirms it")
+@then("slot seat a has tokens again only after a peer met before the pause confirms it")
 def step_confirmed(context):
     cluster = context.slot_cluster
     ledger, peer = cluster.nodes["a"].ledger, cluster.nodes["b"].ledger
@@ -416,7 +439,7 @@
     assert node.ledger.available("x") > 0
 
 
-@when("slot seat a holds all 8 slots and seat b asks for its own")
+@when("slot seat a uses all 8 slots and seat b asks for its home tokens")
 def step_hold_all(context):
     cluster = context.slot_cluster
     node = cluster.nodes["a"]
@@ -442,7 +465,7 @@
 
 
 def lent_cluster():
-    """Return three ledgers over 8 slots with b running on all of them."""
+    """Return three ledgers over 8 slots, all of which b uses."""
     cluster = Cluster(endpoints={"x": 8})
     cluster.run(DEADLINE_S + slots.PAUSE_LIMIT_S + 1, flush=True)
     borrow_all(cluster)
@@ -450,7 +473,7 @@
 
 
 def borrow_all(cluster):
-    """Let b take every slot and keep it busy."""
+    """Borrow every slot for b, and keep b busy."""
     cluster.busy = {"b"}
     node = cluster.nodes["b"]
     for _ in range(8):
@@ -480,28 +503,28 @@
 def borrower_replaced_before_report():
     cluster = lent_cluster()
     lender = cluster.start("a")
-    cluster.cut = {lender.ledger.incarnation}
+    cluster.isolated = {lender.ledger.incarnation}
     cluster.run(4, flush=True)
-    cluster.cut = {cluster.nodes["b"].ledger.incarnation}
+    cluster.isolated = {cluster.nodes["b"].ledger.incarnation}
     cluster.replace("b")
     cluster.run(1.5, flush=True)
     return cluster
 
 
-def woken_borrower_reports():
+def resumed_borrower_reports():
     cluster = Cluster(endpoints={"x": 8})
-    cluster.nodes["b"].frozen = cluster.now
+    cluster.nodes["b"].paused_at = cluster.now
     cluster.replace("b")
     cluster.run(8, flush=True)
     borrow_all(cluster)
-    unheard = cluster.nodes["b"]
-    cluster.cut = {unheard.ledger.incarnation}
-    unheard.frozen = cluster.now
+    successor = cluster.nodes["b"]
+    cluster.isolated = {successor.ledger.incarnation}
+    successor.paused_at = cluster.now
     cluster.replace("a")
-    unheard.frozen = None
-    cluster.zombie.frozen = None
-    cluster.zombie.ledger.learn("a", cluster.nodes["a"].ledger.incarnation)
-    cluster.nodes["a"].ledger.learn("b", cluster.zombie.ledger.incarnation)
+    successor.paused_at = None
+    cluster.replaced_node.paused_at = None
+    cluster.replaced_node.ledger.learn("a", cluster.nodes["a"].ledger.incarnation)
+    cluster.nodes["a"].ledger.learn("b", cluster.replaced_node.ledger.incarnation)
     cluster.run(6, flush=True)
     return cluster
 
@@ -510,21 +533,21 @@
     cluster = Cluster(endpoints={"x": 8})
     cluster.run(DEADLINE_S + slots.PAUSE_LIMIT_S + 1, flush=True)
     cluster.nodes["b"].ledger.want(("x",), 1)
-    while cluster.flying and cluster.flying[0][0] == "b":
+    while cluster.in_flight and cluster.in_flight[0][0] == "b":
         cluster.deliver(0)
-        cluster.flying.pop(0)
-    late = cluster.flying
+        cluster.in_flight.pop(0)
+    late = cluster.in_flight
     assert late
-    cluster.flying = []
+    cluster.in_flight = []
     cluster.nodes["b"].ledger.want(("x",), 0)
     cluster.replace("a")
     cluster.run(6, flush=True)
-    cluster.flying = late
+    cluster.in_flight = late
     cluster.flush()
     return cluster
 
 
-def lent_and_returned_at_once():
+def lent_and_returned_together():
     cluster = lent_cluster()
     cluster.busy = set()
     node = cluster.nodes["b"]
@@ -533,7 +556,7 @@
         node.running.pop()
         node.ledger.give_back("x")
     node.ledger.tick()
-    cluster.flying = []
+    cluster.in_flight = []
     cluster.nodes["c"].ledger.want(("x",), 16)
     cluster.flush()
     cluster.run(SLICE_S, flush=True)
@@ -544,19 +567,19 @@
     "a lender is replaced while its borrower is busy": lender_replaced,
     "a borrower is replaced after it reported": borrower_replaced_after_report,
     "a borrower is replaced before it could report": borrower_replaced_before_report,
-    "a replaced borrower wakes and reports": woken_borrower_reports,
+    "a replaced borrower resumes and reports": resumed_borrower_reports,
     "a transfer of a replaced lender arrives late": late_transfer,
-    "tokens are lent and returned at once": lent_and_returned_at_once,
+    "tokens are lent and returned in one message": lent_and_returned_together,
 }
 
 
-@then("the slots of an endpoint hold when {case}")
+@then("the slots of an endpoint are not exceeded when {case}")
 def step_case(context, case):
     cluster = CASES[case]()
     assert cluster.load("x") <= 8, cluster.load("x")
 
 
-@when("slot seats b and c have queues and seat a is replaced")
+@when("slot seats b and c have waiting requests and seat a is replaced")
 def step_queues(context):
     cluster = context.slot_cluster
     cluster.replace("a")
@@ -566,7 +589,9 @@
     cluster.nodes["a"].ledger.want(("x",), 50)
 
 
-@then("slot seat a runs requests on borrowed tokens before it may use its own")
+@then(
+    "slot seat a runs requests on borrowed tokens before its home tokens are unlocked"
+)
 def step_newcomer(context):
     cluster = context.slot_cluster
     cluster.busy.add("a")
@@ -576,7 +601,7 @@
     assert cluster.load("x") <= 8
 
 
-@when("slot seat a lacks tokens on x and z, then only on x, then none on x")
+@when("slot seat a needs tokens on x and z, then only on x, then none on x")
 def step_overlap(context):
     ledger = context.slot_cluster.nodes["a"].ledger
     ledger.want(("x", "z"), 3)
