--- a/src/cardamomgrade/claim.py
+++ b/src/cardamomgrade/claim.py
@@ -1,8 +1,8 @@
-"""Claims of idempotency keys, folded from the ``claims`` stream.
+"""Claims of idempotency keys, computed from the records of the ``claims`` stream.
 
-The first claim of a key by offset owns it for the time of the log's clock that the
-record names. A later one is a duplicate and extends that time: a reader that lost the
-first claim then still finds the key taken for as long as the others do.
+The claim with the lowest offset owns the key for the period that its record names, by
+the log's clock. A later claim is a duplicate and extends that period. So a reader that
+lost the first claim to truncation finds the key taken for as long as other readers do.
 """
 
 import hashlib
@@ -16,11 +16,11 @@
 KEY_BYTES = 16
 KEY_LIMIT_CHARS = 255
 _HASH_BYTES = 8
-_ENTRY = struct.Struct(f">QQ{_HASH_BYTES}s")
+_PACKED_CLAIM = struct.Struct(f">QQ{_HASH_BYTES}s")
 
 
 def claim_key(service, key):
-    """Return the 16-byte digest that stands for a service's idempotency key."""
+    """Return the 16-byte digest that identifies an idempotency key of a service."""
     text = f"{len(service)}:{service}{key}".encode()
     return hashlib.blake2b(text, digest_size=KEY_BYTES).digest()
 
@@ -31,29 +31,29 @@
 
 @attrs.frozen
 class Claim:
-    """A claim: the log times in ms of its start and end, and its owner's hash."""
+    """The start and end of a claim in log ms, and the hash of its owner's id."""
 
     time_ms: int
     until_ms: int
     request_hash: bytes
 
     def belongs_to(self, request):
-        """Return whether ``request`` is the id of the owner."""
+        """Return whether ``request`` is the id of the request that owns the claim."""
         return self.request_hash == _request_hash(request)
 
 
 class ClaimState:
-    """The live claims, in two generations so that expiry costs no search.
+    """The live claims, kept in two generations so that expiry needs no search.
 
-    Claims move to the old generation when the younger one spans the longest time that
-    a key is remembered, and the old one is dropped as a whole; each claim's own time
-    decides. A claim is packed into 24 bytes.
+    When the young generation spans the longest time that a key is remembered, it
+    becomes the old one, and the previous old one is dropped as a whole. Whether a
+    claim is live depends on its own end only. A claim is packed into 24 bytes.
     """
 
     def __init__(self):
         self._young = {}
         self._old = {}
-        self._young_since = 0
+        self._young_since_ms = 0
         self.next_offset = 0
         self.time_ms = 0
         self.longest_memory_ms = 0
@@ -63,9 +63,9 @@
         return len(self._young) + len(self._old)
 
     def lose(self, earliest):
-        """Go on at ``earliest``: the records before it are no longer retained.
+        """Continue at offset ``earliest``, as records before it are not retained.
 
-        What was known is dropped: a release may have been among the lost records.
+        Drops all known claims, since a lost record may have released one of them.
         """
         self._young.clear()
         self._old.clear()
@@ -73,7 +73,11 @@
         self.known_since_ms = -1
 
     def complete(self, time_ms, memory_ms):
-        """Return whether every claim that is live at ``time_ms`` is known."""
+        """Return whether every claim that is live at ``time_ms`` is known.
+
+        False after ``lose`` until the longest time that a key is remembered has
+        passed, counted from the first record read then.
+        """
         if self.known_since_ms is None:
             return True
         known = self.known_since_ms
@@ -85,13 +89,13 @@
         packed = self._young.get(key) or self._old.get(key)
         if packed is None:
             return None
-        claim = Claim(*_ENTRY.unpack(packed))
+        claim = Claim(*_PACKED_CLAIM.unpack(packed))
         return claim if time_ms < claim.until_ms else None
 
     def fold(self, logged):
-        """Apply a record; return True, or a Refusal that says why it is void.
+        """Apply a record; return True, or a Refusal with the reason why it is void.
 
-        A record below ``next_offset`` was applied before and changes nothing.
+        A record below ``next_offset`` was applied before and has no effect.
         """
         if logged.offset < self.next_offset:
             return Refusal(Reason.ALREADY_DONE)
@@ -107,9 +111,9 @@
         self.time_ms = max(self.time_ms, time_ms)
         if self.known_since_ms == -1:
             self.known_since_ms = self.time_ms
-        if self.time_ms - self._young_since >= self.longest_memory_ms:
+        if self.time_ms - self._young_since_ms >= self.longest_memory_ms:
             self._old, self._young = self._young, {}
-            self._young_since = self.time_ms
+            self._young_since_ms = self.time_ms
 
     def _claim(self, record):
         self.longest_memory_ms = max(self.longest_memory_ms, record.memory_ms)
@@ -125,7 +129,7 @@
 
     def _put(self, key, claim):
         self._old.pop(key, None)
-        self._young[key] = _ENTRY.pack(
+        self._young[key] = _PACKED_CLAIM.pack(
             claim.time_ms, claim.until_ms, claim.request_hash
         )
 
--- a/src/cardamomgrade/keys.py
+++ b/src/cardamomgrade/keys.py
@@ -1,4 +1,8 @@
-"""Claims of idempotency keys by one entry, through the ``claims`` stream."""
+"""Claims of idempotency keys by one entry, through the ``claims`` stream of the log.
+
+A claim is decided by the order of the records in the stream: it is appended, and its
+outcome is known when the record is read back.
+"""
 
 import attrs
 
@@ -9,13 +13,17 @@
 from .records import KeyClaimed, KeyReleased, STREAM_CLAIMS
 from .refusal import Reason, Refusal
 
-RELEASE_AGAIN_S = 2.0
+RELEASE_RETRY_S = 2.0
 TICK_S = 0.5
 
 
 @attrs.define(eq=False)
-class _Pending:
-    """A claim whose record was not read back yet."""
+class _PendingClaim:
+    """A claim whose record has not been read back.
+
+    ``unsure_since`` is the loop time at which the append failed without showing
+    whether the log has the record.
+    """
 
     key: bytes
     on_done: object
@@ -23,18 +31,18 @@
 
 
 @attrs.define(eq=False)
-class _Owed:
-    """A release that was not read back yet."""
+class _OwedRelease:
+    """A release whose record has not been read back."""
 
     key: bytes
     appended_at: float
 
 
 class Keys:
-    """Claims keys for requests of one seat and releases those that did not run.
+    """Claims the keys of one seat's requests and releases those that did not run.
 
-    ``memory_ms()`` tells how long a key is remembered. ``decide(event)`` logs.
-    ``caught_up`` tells whether the tail of the stream was seen.
+    ``memory_ms()`` returns how long a key is remembered. ``decide(event)`` logs an
+    event. ``caught_up`` tells whether a read has reached the tail of the stream.
     """
 
     def __init__(self, loop, net, log, seat, memory_ms, decide):
@@ -44,10 +52,10 @@
         self._decide = decide
         self._claims = ClaimState()
         self._pending = {}
-        self._owed = {}
+        self._owed_releases = {}
         self._incarnations = set()
         self.caught_up = False
-        self._lost_at = None
+        self._truncated_at = None
         self._read_at = 0.0
         self._feed = Feed(
             loop,
@@ -63,37 +71,42 @@
         )
 
     def start(self):
-        """Begin to read the claims."""
+        """Start reading the claims stream."""
         self._feed.start()
         self._loop.call_every(TICK_S, self._tick)
 
     def ready(self):
-        """Return whether keys can be claimed now."""
+        """Return whether keys can be claimed now.
+
+        The log must be reachable and all live claims known.
+        """
         return self._feed.reachable and self._complete(self._memory_ms())
 
     @property
     def next_offset(self):
-        """The next offset of the claims stream to read."""
+        """The offset of the claims stream that is read next."""
         return self._feed.next_offset
 
     def append(self, record):
-        """Append a record of the claims stream for a peer."""
+        """Append a record to the claims stream on behalf of a peer."""
         self._feed.append(record)
 
     def find(self, key):
-        """Return the live Claim of a key that this entry knows of, or None."""
+        """Return the live Claim of a key as far as the stream was read, or None."""
         return self._claims.find(key, self._now_ms())
 
     def claim(self, key, request, on_done):
-        """Ask for a key; ``on_done(True | Refusal)`` is called once, maybe now.
+        """Claim a key for a request.
 
-        DUPLICATE: another request has the key. UNAVAILABLE: the log cannot tell.
+        ``on_done(True | Refusal)`` is called once, possibly before this returns. The
+        reason of a Refusal is DUPLICATE when another request has the key, or
+        UNAVAILABLE when the log cannot be used to decide.
         """
-        objection = self._objection(key)
+        objection = self._claim_refusal(key)
         if objection is not None:
             on_done(objection)
             return
-        self._pending[request] = _Pending(key, on_done)
+        self._pending[request] = _PendingClaim(key, on_done)
         self._incarnations.add(self._seat.incarnation)
         seat = self._seat
         record = KeyClaimed(
@@ -101,7 +114,7 @@
         )
         self._feed.append(record, lambda result: self._appended(request, result))
 
-    def _objection(self, key):
+    def _claim_refusal(self, key):
         if not self._feed.reachable:
             return Refusal(Reason.UNAVAILABLE, "the log is not reachable")
         if not self.ready():
@@ -111,33 +124,40 @@
         return None
 
     def _complete(self, memory_ms):
-        """Return whether every claim that may still be live is known."""
+        """Return whether every claim that may still be live is known.
+
+        After records were lost to truncation, that is so when the longest time that a
+        key is remembered has passed since.
+        """
         if not self.caught_up:
             return False
         if self._claims.complete(self._now_ms(), memory_ms):
             return True
         memory_ms = max(memory_ms, self._claims.longest_memory_ms)
-        watched_s = self._loop.now() - self._lost_at
+        watched_s = self._loop.now() - self._truncated_at
         return watched_s * 1000 >= memory_ms
 
     def _now_ms(self):
-        """Return a lower bound of the log's time."""
+        """Return a lower bound of the log's current time in milliseconds."""
         if not self._read_at:
             return self._claims.time_ms
         return self._claims.time_ms + int((self._loop.now() - self._read_at) * 1000)
 
     def forget(self, request):
-        """Give a claim up; if the log holds it, it is released when read back."""
+        """Abandon a pending claim; if the log has it, it is released when read back."""
         self._pending.pop(request, None)
 
     def release(self, key, request):
-        """Release the key of a request that did not run."""
+        """Release the key of a request that did not run.
+
+        The release is appended again until it is read back.
+        """
         self._decide(KeyReleaseOwed(request))
-        self._owed[request] = _Owed(key, 0.0)
+        self._owed_releases[request] = _OwedRelease(key, 0.0)
         self._append_release(request)
 
     def _append_release(self, request):
-        owed = self._owed[request]
+        owed = self._owed_releases[request]
         owed.appended_at = self._loop.now()
         self._feed.append(KeyReleased(owed.key, request))
 
@@ -146,11 +166,11 @@
         if pending is None or isinstance(result, Appended):
             return
         if result.reason is Reason.UNAVAILABLE or not self._feed.reachable:
-            self._settle(request, Refusal(Reason.UNAVAILABLE, "the log is not there"))
+            self._resolve(request, Refusal(Reason.UNAVAILABLE, "the log is not there"))
         else:
             pending.unsure_since = self._loop.now()
 
-    def _settle(self, request, result):
+    def _resolve(self, request, result):
         pending = self._pending.pop(request, None)
         if pending is not None:
             pending.on_done(result)
@@ -163,7 +183,7 @@
             if isinstance(record, KeyClaimed) and self._is_own(record):
                 self._on_own_claim(logged, result)
             elif isinstance(record, KeyReleased):
-                self._owed.pop(record.request, None)
+                self._owed_releases.pop(record.request, None)
         self._read_at = self._loop.now()
 
     def _is_own(self, record):
@@ -175,7 +195,7 @@
         request = logged.record.request
         if result is True:
             self._decide(KeyOwned(request, logged.offset))
-        if self._settle(request, result) or result is not True:
+        if self._resolve(request, result) or result is not True:
             return
         self.release(logged.record.key, request)
 
@@ -185,12 +205,12 @@
             since = pending.unsure_since
             if since is not None and sent_s > since:
                 detail = "the log did not take the claim"
-                self._settle(request, Refusal(Reason.UNAVAILABLE, detail))
+                self._resolve(request, Refusal(Reason.UNAVAILABLE, detail))
 
     def _on_lost(self, earliest):
         note(LogTruncated(STREAM_CLAIMS, earliest))
         self._claims.lose(earliest)
-        self._lost_at = self._loop.now()
+        self._truncated_at = self._loop.now()
         self._feed.next_offset = earliest
         self.caught_up = False
 
@@ -198,9 +218,9 @@
         if not self._feed.reachable:
             refusal = Refusal(Reason.UNAVAILABLE, "the log is not reachable")
             for request in list(self._pending):
-                self._settle(request, refusal)
+                self._resolve(request, refusal)
             return
-        oldest = self._loop.now() - RELEASE_AGAIN_S
-        for request, owed in list(self._owed.items()):
+        oldest = self._loop.now() - RELEASE_RETRY_S
+        for request, owed in list(self._owed_releases.items()):
             if owed.appended_at < oldest:
                 self._append_release(request)
--- a/tests/steps/claim.py
+++ b/tests/steps/claim.py
@@ -31,7 +31,7 @@
         yield Logged(offset, time_ms, record)
 
 
-@then("generated claims and releases agree with a plain model")
+@then("generated claims and releases agree with a simple model")
 def model(context):
     @FIXED
     @generated(STEPS)
@@ -85,7 +85,7 @@
     context.earliest = earliest
 
 
-@then("keys are not known to be free before the time of a key has passed")
+@then("keys are not known to be free until the period of a key has passed")
 def not_guessed(context):
     claims = context.claims
     assert not claims.complete(10**9, MEMORY_MS)
@@ -139,7 +139,7 @@
     check()
 
 
-@then("generated claims are judged alike whatever memory a reader's bundle names")
+@then("generated claims have the same outcome whatever period a reader's bundle names")
 def alike(context):
     @FIXED
     @generated(STEPS, st.lists(st.integers(1, 200), min_size=40, max_size=40))
--- a/tests/steps/keys.py
+++ b/tests/steps/keys.py
@@ -1,4 +1,4 @@
-"""Steps for the keys module, through whole entries."""
+"""Steps for the keys module, run with complete entries."""
 
 from behave import given, then, when
 from entry_world import World
@@ -37,7 +37,7 @@
     return keys.find(claim_key("notices", key)) is None
 
 
-@given("two entries and a slow enough endpoint for keyed requests")
+@given("two entries and an endpoint slow enough for keyed requests")
 def keyed_world(context):
     world = context.world = World(DEADLINE_MS, ("e1", "e2"))
     world.endpoint("vm0")
@@ -71,7 +71,7 @@
         context.rounds.append([outcome(item[0]) for item in answers])
 
 
-@then("of each key one request was answered, the others were told duplicate")
+@then("one request per key was answered and the others were refused as duplicate")
 def one_each(context):
     for outcomes in context.rounds:
         assert outcomes.count("answered") == 1, outcomes
@@ -89,7 +89,7 @@
     context.answers = [ask_keyed(context, entry, key) for entry in ("e1", "e2")]
 
 
-@then("the first was answered and the second told duplicate")
+@then("the first was answered and the second refused as duplicate")
 def first_only(context):
     assert [outcome(item) for item in context.answers] == ["answered", DUPLICATE]
     assert context.answers[1].status == 409
@@ -118,7 +118,7 @@
     context.answer = ask_keyed(context, "e1", key)
 
 
-@then("the keyed request is told not-run with a time to come back")
+@then("the keyed request is refused as not-run with a retry-after time")
 def keyed_not_run(context):
     assert outcome(context.answer) == NOT_RUN, context.answer
     assert int(context.answer.header("retry-after")) >= 1
@@ -176,7 +176,7 @@
     stream.earliest += 3
 
 
-@when("the newcomer e2 takes over from an earlier process of e2")
+@when("a new process of e2 replaces an earlier one")
 def newcomer(context):
     world = context.world
     old = world.entries["e2"]
@@ -185,7 +185,7 @@
     world.entry("e2")
 
 
-@then("its keyed requests are told not-run and the others are answered")
+@then("its keyed requests are refused as not-run and the others are answered")
 def newcomer_refuses(context):
     world = context.world
     world.run_until(lambda: world.entries["e2"].keys.caught_up)
