--- a/src/cardamomgrade/client.py
+++ b/src/cardamomgrade/client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client side: one request in flight on a connection."""
+"""HTTP/1.1 client with one request in flight per connection."""
 
 from collections import deque
 
@@ -11,9 +11,9 @@
 
 @attrs.frozen
 class Failure:
-    """A request without a whole answer.
+    """The result of a request that got no complete response; falsy.
 
-    ``sent`` tells whether any byte of the request was handed to a connection.
+    ``sent`` tells whether any byte of the request was written to a connection.
     """
 
     sent: bool
@@ -26,7 +26,7 @@
 class ClientConn:
     """A connection to one server.
 
-    ``on_idle_close`` is called when the server closes while nothing is in flight.
+    ``on_idle_close`` is called when it closes while no request is in flight.
     """
 
     def __init__(self, conn, body_limit=BODY_LIMIT_BYTES):
@@ -43,7 +43,7 @@
 
     @property
     def usable(self):
-        """Whether the connection is open and nothing is in flight."""
+        """Whether the connection is open and no request is in flight."""
         return not self._conn.closed and self._on_done is None
 
     def send(self, req, on_done):
@@ -57,7 +57,7 @@
         self._conn.write(data)
 
     def abort(self):
-        """Close at once; a request in flight gets no answer any more."""
+        """Close at once; a request in flight does not report a result."""
         self._on_done = None
         self._conn.abort()
 
@@ -121,7 +121,7 @@
 
 
 class Requester:
-    """Sends requests to one server in turn, each with a timeout in seconds."""
+    """Sends requests to one server one after another over one connection."""
 
     def __init__(self, loop, net, address, body_limit=BODY_LIMIT_BYTES):
         self._loop = loop
@@ -130,18 +130,18 @@
         self._limit = body_limit
         self._conn = None
         self._queue = deque()
-        self._busy = None
+        self._current = None
 
     def close(self):
-        """Drop the connection and what waits."""
+        """Close the connection and drop the queued requests."""
         self._queue.clear()
-        self._busy = None
+        self._current = None
         if self._conn is not None:
             self._conn.abort()
 
     def cancel(self):
-        """Drop the request in flight and its connection; it reports nothing."""
-        call, self._busy = self._busy, None
+        """Drop the request in flight and its connection, without reporting a result."""
+        call, self._current = self._current, None
         if call is not None:
             call.done = True
             call.timer.cancel()
@@ -150,18 +150,22 @@
         self._next()
 
     def request(self, req, on_done, timeout):
-        """Call ``on_done(HttpResponse | Failure)`` within ``timeout`` seconds."""
+        """Send a request; call ``on_done(HttpResponse | Failure)`` once.
+
+        The ``timeout`` in seconds includes the wait in the queue; a Failure is
+        reported when it has passed.
+        """
         call = _Call(req, on_done)
         call.timer = self._loop.call_later(timeout, lambda: self._expire(call))
         self._queue.append(call)
         self._next()
 
     def _next(self):
-        while self._busy is None and self._queue:
+        while self._current is None and self._queue:
             call = self._queue.popleft()
             if call.done:
                 continue
-            self._busy = call
+            self._current = call
             if self._conn is not None and self._conn.usable:
                 self._send(call)
             else:
@@ -189,8 +193,8 @@
         self._finish(call, Failure(call.sent, "timed out"))
 
     def _finish(self, call, result):
-        if self._busy is call:
-            self._busy = None
+        if self._current is call:
+            self._current = None
         if not call.done:
             call.done = True
             call.timer.cancel()
@@ -200,7 +204,7 @@
 
 @attrs.define(eq=False)
 class _Call:
-    """A request that waits or is in flight."""
+    """A request that is queued or in flight."""
 
     req: object
     on_done: object
--- a/src/cardamomgrade/endpoint.py
+++ b/src/cardamomgrade/endpoint.py
@@ -1,4 +1,4 @@
-"""Pooled connections of an entry to one endpoint."""
+"""Connection pool of an entry for one endpoint."""
 
 import attrs
 
@@ -8,24 +8,24 @@
 from .wire import BODY_LIMIT_BYTES, HttpResponse
 
 IDLE_LIMIT_S = 30.0
-ONCE_IDLE_LIMIT_S = 1.0
+UNREPEATABLE_IDLE_LIMIT_S = 1.0
 REQUEST_ID_HEADER = "request-id"
 
 
 @attrs.define(eq=False)
 class Call:
-    """One request on its way to an endpoint."""
+    """One request to an endpoint."""
 
     req: object
     request_id: str
     on_done: object
     conn: ClientConn = None
     sending: bool = False
-    over: bool = False
+    finished: bool = False
 
     @property
     def sent(self):
-        """Whether any byte was handed to a connection."""
+        """Whether any byte of the request was written to a connection."""
         return self.conn is not None
 
 
@@ -50,17 +50,20 @@
 
     @property
     def room(self):
-        """How many more requests the connections allow now."""
+        """The number of requests that can start now on idle or new connections."""
         return self._limit - self.open + len(self._idle)
 
     def start(self, req, request_id, repeatable, on_done):
-        """Send ``req``; call ``on_done(HttpResponse | Failure)`` once, later.
+        """Send ``req`` and return its Call.
 
-        A request that is not repeatable uses only connections that were idle for
-        a short time, since the endpoint may be closing older ones.
+        ``on_done(HttpResponse | Failure)`` is called once, after this has returned. A
+        request that is not ``repeatable`` uses no connection that was idle for
+        ``UNREPEATABLE_IDLE_LIMIT_S`` or longer, since the endpoint may be closing it.
         """
         call = Call(req, request_id, on_done)
-        conn = self._take_idle(IDLE_LIMIT_S if repeatable else ONCE_IDLE_LIMIT_S)
+        conn = self._take_idle(
+            IDLE_LIMIT_S if repeatable else UNREPEATABLE_IDLE_LIMIT_S
+        )
         if conn is not None:
             self._send(call, conn)
         elif self.open >= self._limit:
@@ -71,22 +74,22 @@
         return call
 
     def abort(self, call):
-        """Give a request up; its answer reaches nobody."""
+        """Abort a request; its ``on_done`` is not called."""
         call.on_done = None
-        if call.conn is not None and not call.over:
-            self._drop(call.conn)
+        if call.conn is not None and not call.finished:
+            self._close_conn(call.conn)
 
     def sweep(self):
-        """Close connections that have been idle too long."""
+        """Close connections that have been idle for longer than ``IDLE_LIMIT_S``."""
         oldest = self._loop.now() - IDLE_LIMIT_S
         for item in [item for item in self._idle if item.since < oldest]:
             self._idle.remove(item)
-            self._drop(item.conn)
+            self._close_conn(item.conn)
 
     def close(self):
         """Close the idle connections."""
         while self._idle:
-            self._drop(self._idle.pop().conn)
+            self._close_conn(self._idle.pop().conn)
 
     def _take_idle(self, limit):
         now = self._loop.now()
@@ -94,7 +97,7 @@
             item = self._idle.pop()
             if item.conn.usable and now - item.since < limit:
                 return item.conn
-            self._drop(item.conn)
+            self._close_conn(item.conn)
         return None
 
     def _dial(self, call):
@@ -103,7 +106,7 @@
         def opened(raw):
             conn = ClientConn(raw, self._body_limit)
             if call.on_done is None:
-                self._keep(conn)
+                self._add_idle(conn)
             else:
                 self._send(call, conn)
 
@@ -118,24 +121,24 @@
         call.conn = conn
         call.sending = True
         try:
-            conn.send(call.req, lambda result: self._done(call, result))
+            conn.send(call.req, lambda result: self._on_result(call, result))
         except WireError as exc:
             call.conn = None
-            self._keep(conn)
+            self._add_idle(conn)
             self._finish(call, Failure(False, str(exc)))
         call.sending = False
 
-    def _done(self, call, result):
+    def _on_result(self, call, result):
         conn = call.conn
-        call.over = True
+        call.finished = True
         if isinstance(result, HttpResponse):
             echo = result.header(REQUEST_ID_HEADER)
             if echo and echo != call.request_id:
                 result = Failure(True, "answer to another request")
         if isinstance(result, HttpResponse) and conn.usable:
-            self._keep(conn)
+            self._add_idle(conn)
         else:
-            self._drop(conn)
+            self._close_conn(conn)
         self._finish(call, result)
 
     def _finish(self, call, result):
@@ -146,17 +149,17 @@
         if on_done is not None:
             on_done(result)
 
-    def _keep(self, conn):
+    def _add_idle(self, conn):
         item = _Idle(conn, self._loop.now())
-        conn.on_idle_close = lambda: self._forget(item)
+        conn.on_idle_close = lambda: self._remove_idle(item)
         self._idle.append(item)
 
-    def _forget(self, item):
+    def _remove_idle(self, item):
         if item in self._idle:
             self._idle.remove(item)
             self.open -= 1
 
-    def _drop(self, conn):
+    def _close_conn(self, conn):
         conn.on_idle_close = None
         conn.abort()
         self.open -= 1
--- a/src/cardamomgrade/loop.py
+++ b/src/cardamomgrade/loop.py
@@ -1,4 +1,4 @@
-"""The one loop of a process: circuits' poller, timers and signals."""
+"""The event loop of a process, with timers and signals, on the poller of circuits."""
 
 import heapq
 import itertools
@@ -12,7 +12,7 @@
 
 
 class Timer:
-    """A pending call; ``cancel`` drops it."""
+    """A callback that is due at a monotonic time in seconds."""
 
     __slots__ = ("due", "callback")
 
@@ -21,14 +21,14 @@
         self.callback = callback
 
     def cancel(self):
-        """Make the timer do nothing when it is due."""
+        """Drop the callback, so that nothing is called when the timer is due."""
         self.callback = None
 
 
 class Loop(BaseComponent):
-    """Root component with an epoll poller and a heap of timers.
+    """Root component of circuits with an epoll poller and a heap of timers.
 
-    Times are seconds of the monotonic clock.
+    Times are in seconds of the monotonic clock.
     """
 
     channel = "loop"
@@ -57,11 +57,11 @@
     def call_every(self, interval, callback):
         """Call ``callback`` every ``interval`` seconds until the loop ends."""
 
-        def again():
-            self.call_later(interval, again)
+        def run_again():
+            self.call_later(interval, run_again)
             callback()
 
-        return self.call_later(interval, again)
+        return self.call_later(interval, run_again)
 
     @handler("generate_events", channel="*", priority=1)
     def _on_generate_events(self, event):
@@ -75,10 +75,11 @@
             event.reduce_time_left(max(0.0, self._heap[0][0] - self.now()))
 
     def on_stop(self, callback):
-        """Call ``callback`` at the first SIGTERM or SIGINT, to leave in order.
+        """Call ``callback`` on the loop after the first SIGTERM or SIGINT.
 
-        The callback ends the loop with ``finish``; a second signal ends it at once. A
-        signal counts from here on, also before ``run``.
+        The callback shuts down and ends the loop with ``finish``. A second signal
+        ends the process at once. Signals are handled from this call on, so one that
+        arrives before ``run`` is not lost.
         """
         self._on_stop = callback
         signal.signal(signal.SIGTERM, self._on_signal)
@@ -87,11 +88,11 @@
     def on_reload(self, callback):
         """Call ``callback`` on the loop after each SIGHUP."""
 
-        def hung_up(signo, frame):
+        def on_sighup(signo, frame):
             self.call_later(0, callback)
             self.poller.resume()
 
-        signal.signal(signal.SIGHUP, hung_up)
+        signal.signal(signal.SIGHUP, on_sighup)
 
     def _on_signal(self, signo, frame):
         if self._stopping:
@@ -101,28 +102,29 @@
         self.poller.resume()
 
     def finish(self):
-        """End ``run`` after the current tick."""
+        """Make ``run`` return after the current tick."""
         self._running = False
 
     def fail(self):
-        """End the process with EXIT_INTERNAL after the current tick.
+        """End the process with status EXIT_INTERNAL after the current tick.
 
-        For a component whose state is no longer known; the platform replaces it.
+        For a component whose state may be wrong after an error; the platform starts a
+        new process in its place.
         """
         self._failed = True
         self._running = False
 
     def run(self, socket=None):
-        """Run until ``finish`` is called; SystemExit after ``fail``."""
+        """Run until ``finish`` is called. Raises SystemExit after ``fail``."""
         self._running = True
         while self._running:
             self.tick()
-        self._check()
+        self._exit_if_failed()
 
     def run_until(self, done, timeout):
-        """Run until ``done()`` holds or ``timeout`` seconds passed; return it.
+        """Run until ``done()`` is true or ``timeout`` seconds have passed.
 
-        Raises SystemExit after ``fail``.
+        Returns ``done()``. Raises SystemExit after ``fail``.
         """
         end = self.now() + timeout
         wake = self.call_later(timeout, lambda: None)
@@ -132,9 +134,9 @@
             self.tick()
         self._done = lambda: False
         wake.cancel()
-        self._check()
+        self._exit_if_failed()
         return done()
 
-    def _check(self):
+    def _exit_if_failed(self):
         if self._failed:
             raise SystemExit(EXIT_INTERNAL)
--- a/src/cardamomgrade/net.py
+++ b/src/cardamomgrade/net.py
@@ -1,4 +1,4 @@
-"""TCP connections on the loop, addressed by IP number and port."""
+"""Non-blocking TCP connections on the loop, by IP address and port."""
 
 import errno
 import socket
@@ -23,8 +23,8 @@
 class Conn:
     """One TCP connection.
 
-    The owner sets ``on_data(data)`` and ``on_close()``; ``on_close`` is called once,
-    unless the owner closed the connection itself.
+    The owner sets ``on_data(data)`` and ``on_close()``. ``on_close`` is called once
+    when the peer closes or an error occurs, but not after ``close`` or ``abort``.
     """
 
     def __init__(self, net, sock, peer):
@@ -39,11 +39,14 @@
 
     @property
     def pending(self):
-        """Bytes written that the kernel has not taken yet."""
+        """The number of written bytes that are not yet handed to the kernel."""
         return len(self._out)
 
     def write(self, data):
-        """Send ``data``; a reader that is too slow loses the connection."""
+        """Send ``data``, and abort the connection when the peer reads too slowly.
+
+        That is when more than ``WRITE_BUFFER_LIMIT_BYTES`` are pending.
+        """
         if self.closed or self._closing:
             return
         if not self._out:
@@ -62,11 +65,11 @@
         except BlockingIOError:
             return data
         except OSError:
-            self._lose()
+            self._close_sock()
             return b""
 
     def close(self):
-        """Close after what was written has been sent."""
+        """Close after the written data has been sent."""
         self._closing = True
         if not self._out:
             self.abort()
@@ -74,25 +77,25 @@
     def abort(self):
         """Close at once; ``on_close`` is not called."""
         self.on_close = None
-        self._lose()
+        self._close_sock()
 
     def pause_reads(self, paused):
-        """Stop or resume reading, so that the peer's sending blocks."""
+        """Stop or resume reading; while stopped, the peer's writes block in the end."""
         if not self.closed:
             self._net.watch_reads(self._sock, not paused)
 
-    def _lose(self):
+    def _close_sock(self):
         if self.closed:
             return
         self.closed = True
-        self._net.forget(self._sock)
+        self._net.unwatch(self._sock)
         self._sock.close()
         callback, self.on_close = self.on_close, None
         if callback is not None:
             callback()
 
     def readable(self):
-        """Take what the kernel holds; called by Net."""
+        """Read the available data; called by Net."""
         try:
             data = self._sock.recv(READ_BYTES)
         except BlockingIOError:
@@ -100,12 +103,12 @@
         except OSError:
             data = b""
         if not data:
-            self._lose()
+            self._close_sock()
         elif self.on_data is not None:
             self.on_data(data)
 
     def writable(self):
-        """Send what is pending; called by Net."""
+        """Send pending data; called by Net."""
         self._out = bytearray(self._send(bytes(self._out)))
         if self.closed or self._out:
             return
@@ -115,7 +118,7 @@
 
 
 class Net(BaseComponent):
-    """Listens and dials for one process."""
+    """Accepts and opens the TCP connections of one process."""
 
     channel = "net"
 
@@ -129,7 +132,7 @@
         self.register(loop)
 
     def listen(self, host, port, on_conn):
-        """Call ``on_conn(conn)`` for each connection; return the bound port."""
+        """Listen and call ``on_conn(conn)`` per connection; return the bound port."""
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((host, port))
@@ -140,14 +143,17 @@
         return sock.getsockname()[1]
 
     def close_listeners(self):
-        """Stop accepting."""
+        """Close the listening sockets."""
         for sock in self._listeners:
             self._poller.discard(sock)
             sock.close()
         self._listeners.clear()
 
     def dial(self, host, port, on_open, on_fail, timeout=CONNECT_TIMEOUT_S):
-        """Connect; call ``on_open(conn)`` or ``on_fail(ConnectError)`` later."""
+        """Connect; call ``on_open(conn)`` or ``on_fail(ConnectError)`` later.
+
+        ``timeout`` is in seconds.
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         sock.setblocking(False)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -178,9 +184,9 @@
         peer, on_open, _, timer = self._dials.pop(sock)
         timer.cancel()
         self._poller.removeWriter(sock)
-        on_open(self._adopt(sock, peer))
+        on_open(self._register_conn(sock, peer))
 
-    def _adopt(self, sock, peer):
+    def _register_conn(self, sock, peer):
         conn = Conn(self, sock, peer)
         self._conns[sock] = conn
         self._poller.addReader(self, sock)
@@ -194,23 +200,23 @@
                 return
             sock.setblocking(False)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            self._listeners[listener](self._adopt(sock, peer))
+            self._listeners[listener](self._register_conn(sock, peer))
 
     def watch_writes(self, sock, wanted):
-        """Start or stop waiting for room to write."""
+        """Start or stop watching a socket for being writable."""
         if wanted and not self._poller.isWriting(sock):
             self._poller.addWriter(self, sock)
         elif not wanted and self._poller.isWriting(sock):
             self._poller.removeWriter(sock)
 
     def watch_reads(self, sock, wanted):
-        """Start or stop waiting for data."""
+        """Start or stop watching a socket for data."""
         if wanted and not self._poller.isReading(sock):
             self._poller.addReader(self, sock)
         elif not wanted and self._poller.isReading(sock):
             self._poller.removeReader(sock)
 
-    def forget(self, sock):
+    def unwatch(self, sock):
         """Stop watching a socket that is about to be closed."""
         self._conns.pop(sock, None)
         self._poller.discard(sock)
--- a/src/cardamomgrade/server.py
+++ b/src/cardamomgrade/server.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 server side: whole requests in, whole responses out, in order."""
+"""HTTP/1.1 server that reads complete requests and writes responses in order."""
 
 import attrs
 import h11
@@ -23,7 +23,11 @@
 
 @attrs.frozen
 class ServerLimits:
-    """Bounds of a server; sizes in bytes, times in seconds."""
+    """Limits of a server; sizes in bytes, times in seconds.
+
+    ``message_s`` is the time to receive one request, ``idle_s`` the time that a
+    connection may be open without a request.
+    """
 
     body_bytes: int = BODY_LIMIT_BYTES
     connections: int = CONNECTION_LIMIT
@@ -32,16 +36,16 @@
 
 
 def plain_response(status, text, headers=()):
-    """Return a response with a plain text body."""
+    """Return a response whose body is ``text`` as plain text."""
     return HttpResponse(
         status, ((b"content-type", b"text/plain"), *headers), text.encode() + b"\n"
     )
 
 
 class Exchange:
-    """One request and the duty to answer it once.
+    """One request, to be answered once.
 
-    ``on_gone`` is called when the caller closes before the answer was given.
+    ``on_gone`` is called when the caller closes the connection before the answer.
     """
 
     def __init__(self, session, req, peer):
@@ -52,9 +56,9 @@
         self.on_gone = None
 
     def respond(self, response, close=False):
-        """Answer the request, and close the connection after it or not.
+        """Answer the request; with ``close`` also close the connection after it.
 
-        Later calls do nothing.
+        Does nothing when the request was answered before.
         """
         if self.answered:
             return
@@ -62,17 +66,17 @@
         self._session.answer(self, response, close)
 
     def drop(self):
-        """Close the caller's connection without an answer."""
+        """Close the caller's connection without answering."""
         self.answered = True
         self._session.close_now()
 
     def respond_half(self, response):
-        """Send the head and half of the body, then close; for stand-ins."""
+        """Send the head and half of the body, then close; used by test stand-ins."""
         self.answered = True
-        self._session.answer_half(response)
+        self._session.answer_partially(response)
 
-    def gone(self):
-        """Tell the owner that the caller has left; called by the session."""
+    def caller_left(self):
+        """Call ``on_gone`` unless the request was answered; called by the session."""
         if not self.answered:
             self.answered = True
             if self.on_gone is not None:
@@ -80,7 +84,10 @@
 
 
 class _Session:
-    """A caller's connection; one request at a time, pipelined ones wait."""
+    """A caller's connection, which handles one request at a time.
+
+    Pipelined requests wait in the buffer.
+    """
 
     def __init__(self, server, conn):
         self._server = server
@@ -94,14 +101,14 @@
         self._timer = None
         conn.on_data = self._on_data
         conn.on_close = self._on_close
-        self._arm(server.limits.idle_s, self._drop)
+        self._set_timer(server.limits.idle_s, self._abort_conn)
 
-    def _arm(self, delay, callback):
+    def _set_timer(self, delay, callback):
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._server.loop.call_later(delay, callback)
 
-    def _drop(self):
+    def _abort_conn(self):
         self._conn.abort()
         self._on_close()
 
@@ -109,18 +116,18 @@
         self._timer.cancel()
         self._server.sessions.discard(self)
         if self._exchange is not None:
-            self._exchange.gone()
+            self._exchange.caller_left()
 
-    def serves(self, exchange):
+    def is_answering(self, exchange):
         """Return whether ``exchange`` belongs to this connection."""
         return self._exchange is exchange
 
     def close_now(self):
-        """Close without an answer to what is being read or answered."""
-        self._drop()
+        """Close at once, without answering a request that is being read or handled."""
+        self._abort_conn()
 
-    def answer_half(self, response):
-        """Send half of the body under its whole length, then close."""
+    def answer_partially(self, response):
+        """Send half of the body under a content-length of all of it, then close."""
         raw = h11.Connection(h11.SERVER)
         event = h11.Response(
             status_code=response.status, headers=response_headers(response)
@@ -130,9 +137,9 @@
         self._on_close()
 
     def close_idle(self):
-        """Close now unless a request is being read or answered."""
+        """Close now unless a request is being read or handled."""
         if self._exchange is None and self._http is None and not self._buffer:
-            self._drop()
+            self._abort_conn()
 
     def _on_data(self, data):
         if self._exchange is not None:
@@ -147,22 +154,22 @@
 
     def _start(self, data):
         if not self._buffer:
-            self._arm(self._server.limits.message_s, self._too_slow)
+            self._set_timer(self._server.limits.message_s, self._on_message_timeout)
         self._buffer = data.lstrip(b"\r\n") if data[:2] == b"\r\n" else data
         if HEAD_END not in self._buffer:
             if len(self._buffer) > HEAD_LIMIT_BYTES:
                 self._refuse(431, "head too large")
             return
-        bad = check_head(self._buffer)
-        if bad is not None:
-            self._refuse(bad.status, bad.detail)
+        problem = check_head(self._buffer)
+        if problem is not None:
+            self._refuse(problem.status, problem.detail)
             return
         data, self._buffer = self._buffer, b""
         self._http = h11.Connection(h11.SERVER, HEAD_LIMIT_BYTES)
         self._head, self._body, self._size = None, [], 0
         self._feed(data)
 
-    def _too_slow(self):
+    def _on_message_timeout(self):
         self._refuse(408, "request not received in time")
 
     def _refuse(self, status, detail):
@@ -229,7 +236,7 @@
         self._server.on_request(self._exchange)
 
     def answer(self, exchange, response, close):
-        """Write the response; close, or go on with the next pipelined request."""
+        """Write the response; close, or continue with the next pipelined request."""
         if self._conn.closed:
             return
         http, self._http, self._exchange = self._http, None, None
@@ -242,14 +249,14 @@
                 out += http.send(h11.Data(data=response.body))
             out += http.send(h11.EndOfMessage())
         except h11.LocalProtocolError as exc:
-            self._drop()
+            self._abort_conn()
             raise WireError(f"response is not valid HTTP: {exc}") from exc
         self._conn.write(out)
         if http.our_state is h11.MUST_CLOSE or self._conn.closed:
             self._conn.close()
             self._on_close()
             return
-        self._arm(self._server.limits.idle_s, self._drop)
+        self._set_timer(self._server.limits.idle_s, self._abort_conn)
         self._conn.pause_reads(False)
         if self._buffer:
             data, self._buffer = self._buffer, b""
@@ -261,9 +268,10 @@
 
 
 class HttpServer:
-    """Serves ``on_request(exchange)`` on one or more addresses.
+    """Listens on one or more addresses and calls ``on_request(exchange)``.
 
-    ``refusal(status, detail)`` makes the response to a request that is no valid HTTP.
+    ``refusal(status, detail)`` returns the response to a request that is not valid
+    HTTP or exceeds a limit.
     """
 
     def __init__(self, loop, net, on_request, limits=None, refusal=plain_response):
@@ -280,15 +288,15 @@
         return self._net.listen(host, port, self._on_conn)
 
     def drain(self):
-        """Close idle connections now and the others after their answer."""
+        """Close idle connections now and the others after their response."""
         self.draining = True
         for session in list(self.sessions):
             session.close_idle()
 
     def drop_others(self, exchange):
-        """Close every connection but the one of ``exchange``."""
+        """Close every connection except that of ``exchange``."""
         for session in list(self.sessions):
-            if not session.serves(exchange):
+            if not session.is_answering(exchange):
                 session.close_now()
 
     def _on_conn(self, conn):
--- a/src/cardamomgrade/wire.py
+++ b/src/cardamomgrade/wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages and the checks that both sides of a connection share."""
+"""HTTP/1.1 messages, and the checks that client and server share."""
 
 import attrs
 import h11
@@ -26,7 +26,7 @@
 
 @attrs.frozen
 class HttpRequest:
-    """A whole request; header names are lower-case bytes."""
+    """A complete request; ``headers`` are (name, value) bytes, names in lower case."""
 
     method: str
     target: str
@@ -35,7 +35,7 @@
 
     @property
     def path(self):
-        """The target without its query."""
+        """The request target without its query string."""
         return self.target.partition("?")[0]
 
     def header(self, name, default=""):
@@ -45,7 +45,7 @@
 
 @attrs.frozen
 class HttpResponse:
-    """A whole response; header names are lower-case bytes."""
+    """A complete response; ``headers`` are (name, value) bytes, names in lower case."""
 
     status: int
     headers: tuple = ()
@@ -58,7 +58,7 @@
 
 @attrs.frozen
 class BadHead:
-    """Why the head of a request is refused, with the status to answer."""
+    """The status and detail with which a malformed request head is refused."""
 
     status: int
     detail: str
@@ -74,7 +74,7 @@
 
 
 def end_to_end_headers(headers):
-    """Return the headers that pass through an intermediary (RFC 9110, 7.6.1)."""
+    """Return the headers that an intermediary forwards (RFC 9110, section 7.6.1)."""
     listed = set()
     for name, value in headers:
         if name == b"connection":
@@ -84,9 +84,9 @@
 
 
 def check_head(data):
-    """Return a BadHead when the raw head in ``data`` is ambiguous, else None.
+    """Return a BadHead when the raw request head in ``data`` is ambiguous, else None.
 
-    ``data`` starts at a request line and holds the whole head.
+    ``data`` starts at the request line and contains the complete head.
     """
     head = data[: data.index(HEAD_END)]
     lines = head.split(b"\r\n")
@@ -110,9 +110,10 @@
 
 
 def request_bytes(req):
-    """Return the bytes of a request on the wire.
+    """Return (h11 client connection, bytes) of a request.
 
-    Raises WireError when a field is not valid HTTP.
+    The connection is the one to parse the response with. Raises WireError when the
+    request is not valid HTTP.
     """
     conn = h11.Connection(h11.CLIENT)
     headers = list(req.headers)
@@ -131,7 +132,10 @@
 
 
 def response_headers(response):
-    """Return the end-to-end headers of a response with its length set."""
+    """Return the end-to-end headers of a response with its content-length.
+
+    A 204 or 304 response gets no content-length.
+    """
     headers = end_to_end_headers(response.headers)
     if response.status in _BODILESS_STATUS:
         return [pair for pair in headers if pair[0] != b"content-length"]
--- a/tests/loop.feature
+++ b/tests/loop.feature
@@ -1,18 +1,18 @@
 Feature: loop
 
-  Scenario: an end of the run is not held up by the poller
-    Given a loop whose next timer is far away
+  Scenario: the poller does not delay the end of a run
+    Given a loop whose next timer is due in 100 seconds
     When its run is finished from a callback
     Then the poller waits 0 seconds
     When its awaited condition holds
     Then the poller waits 0 seconds
 
-  Scenario: a signal that comes before the loop runs is not lost
-    Given a loop that is told what to do at a stop
-    When SIGTERM comes before it runs
-    Then the loop runs and leaves in order
+  Scenario: a signal that arrives before the loop runs is not lost
+    Given a loop with a callback for stop signals
+    When SIGTERM arrives before it runs
+    Then the loop runs the callback and ends
 
-  Scenario: a failure ends a bounded run as well
-    Given a loop whose next timer is far away
+  Scenario: a failure also ends a run with a timeout
+    Given a loop whose next timer is due in 100 seconds
     When it fails while it runs until a condition holds
-    Then the bounded run ends with the status of an internal error
+    Then the bounded run ends with the exit status of an internal error
--- a/tests/loops.py
+++ b/tests/loops.py
@@ -1,10 +1,10 @@
-"""Runs a loop of the package inside a test."""
+"""Runs an event loop of the package inside a test."""
 
 WAIT_S = 20.0
 
 
 def ask(loop, call):
-    """Return what ``call(on_done)`` reports, running the loop until then."""
+    """Run the loop until ``call(on_done)`` reports a result, and return it."""
     results = []
     call(results.append)
     assert loop.run_until(lambda: bool(results), WAIT_S), "no result in time"
--- a/tests/steps/loop.py
+++ b/tests/steps/loop.py
@@ -1,4 +1,4 @@
-"""Steps for the loop."""
+"""Steps for the loop module."""
 
 import os
 import signal
@@ -9,17 +9,17 @@
 
 from cardamomgrade.loop import EXIT_INTERNAL, Loop
 
-FAR_S = 100.0
+TIMER_DELAY_S = 100.0
 
 
-@given("a loop whose next timer is far away")
+@given("a loop whose next timer is due in 100 seconds")
 def step_loop(context):
     context.loop = Loop()
-    context.loop.call_later(FAR_S, lambda: None)
+    context.loop.call_later(TIMER_DELAY_S, lambda: None)
 
 
 def _poll(context):
-    """Handle one generate_events as a tick does, and keep how long it may wait."""
+    """Handle one generate_events as a tick does; store how long the poller may wait."""
     event = generate_events(Lock(), -1)
     context.loop._on_generate_events(event)
     context.waits = event.time_left
@@ -43,24 +43,24 @@
     assert context.waits == 0, context.waits
 
 
-@given("a loop that is told what to do at a stop")
-def step_told(context):
+@given("a loop with a callback for stop signals")
+def step_stop_callback(context):
     context.loop = Loop()
     context.stopped = []
 
-    def leave():
+    def stop():
         context.stopped.append(True)
         context.loop.finish()
 
-    context.loop.on_stop(leave)
+    context.loop.on_stop(stop)
 
 
-@when("SIGTERM comes before it runs")
+@when("SIGTERM arrives before it runs")
 def step_early_signal(context):
     os.kill(os.getpid(), signal.SIGTERM)
 
 
-@then("the loop runs and leaves in order")
+@then("the loop runs the callback and ends")
 def step_left(context):
     assert context.loop.run_until(lambda: context.stopped, 5.0)
 
@@ -74,6 +74,6 @@
         context.ended = exc.code
 
 
-@then("the bounded run ends with the status of an internal error")
+@then("the bounded run ends with the exit status of an internal error")
 def step_failed(context):
     assert context.ended == EXIT_INTERNAL, context.ended
--- a/tests/steps/server.py
+++ b/tests/steps/server.py
@@ -10,7 +10,7 @@
 
 HOST = "127.0.0.1"
 FIXED = settings(max_examples=150, derandomize=True, deadline=None, database=None)
-PIECES = st.sampled_from(
+FRAGMENTS = st.sampled_from(
     [
         b"GET / HTTP/1.1\r\n",
         b"POST /x HTTP/1.1\r\n",
@@ -41,14 +41,14 @@
 
 
 def raw_bytes(text):
-    """Read ~ as CRLF, ^ as a bare LF and a last *N as N filling bytes."""
+    """Return ``text`` as bytes: ~ is CRLF, ^ a bare LF, and a final *N is N times x."""
     text, _, count = text.partition("*")
     data = text.replace("~", "\r\n").replace("^", "\n").encode()
     return data + b"x" * int(count or 0)
 
 
 class RawCaller:
-    """Sends bytes and keeps what comes back."""
+    """Sends bytes over a connection and records the received bytes."""
 
     def __init__(self, rig, port, data):
         self.got = b""
@@ -74,7 +74,7 @@
     serve(context, ok)
 
 
-@given("a server that echoes the path after a delay that shrinks")
+@given("a server that echoes the path after a delay that becomes shorter")
 def step_echo_server(context):
     delays = [0.03, 0.02, 0.01]
 
@@ -85,7 +85,7 @@
     serve(context, echo)
 
 
-@given("a server that waits {seconds:g} s for a whole request")
+@given("a server that waits {seconds:g} s for a complete request")
 def step_impatient_server(context, seconds):
     serve(context, ok, ServerLimits(message_s=seconds))
 
@@ -143,12 +143,12 @@
     assert len(result.body) == size, result
 
 
-@then("generated raw requests are answered or closed and the server goes on")
+@then("generated raw requests are answered or closed and the server keeps working")
 def step_generated_requests(context):
     rig = context.rig
 
     @FIXED
-    @generated(st.lists(PIECES, min_size=1, max_size=8))
+    @generated(st.lists(FRAGMENTS, min_size=1, max_size=8))
     def check(pieces):
         caller = RawCaller(rig, context.port, b"".join(pieces))
         rig.run_for(0.003)
