--- a/src/cardamomgrade/keys.py
+++ b/src/cardamomgrade/keys.py
@@ -98,13 +98,13 @@
     def claim(self, key, request, on_done):
         """Claim a key for a request.
 
-        ``on_done(True | Refusal)`` is called once, possibly before this returns. The
-        reason of a Refusal is DUPLICATE when another request has the key, or
-        UNAVAILABLE when the log cannot be used to decide.
+        ``on_done(True | Refusal)`` is called once, possibly before this returns, but
+        not after ``forget``. The reason of a Refusal is DUPLICATE when another request
+        has the key, or UNAVAILABLE when the log cannot be used to decide.
         """
-        objection = self._claim_refusal(key)
-        if objection is not None:
-            on_done(objection)
+        refusal = self._claim_refusal(key)
+        if refusal is not None:
+            on_done(refusal)
             return
         self._pending[request] = _PendingClaim(key, on_done)
         self._incarnations.add(self._seat.incarnation)
--- a/tests/steps/claim.py
+++ b/tests/steps/claim.py
@@ -32,7 +32,7 @@
 
 
 @then("generated claims and releases agree with a simple model")
-def model(context):
+def agrees_with_model(context):
     @FIXED
     @generated(STEPS)
     def check(steps):
@@ -59,7 +59,7 @@
 
 
 @then("folding generated claims twice has the effect of folding them once")
-def twice(context):
+def folded_twice(context):
     @FIXED
     @generated(STEPS)
     def check(steps):
@@ -86,7 +86,7 @@
 
 
 @then("keys are not known to be free until the period of a key has passed")
-def not_guessed(context):
+def not_taken_as_free(context):
     claims = context.claims
     assert not claims.complete(10**9, MEMORY_MS)
     record = KeyClaimed(KEYS[0], "e1", 1, "r1", MEMORY_MS)
@@ -96,7 +96,7 @@
 
 
 @then("{count:d} live claims take less than {limit:d} bytes each")
-def lean(context, count, limit):
+def claims_are_small(context, count, limit):
     tracemalloc.start()
     state = ClaimState()
     for number in range(count):
@@ -140,7 +140,7 @@
 
 
 @then("generated claims have the same outcome whatever period a reader's bundle names")
-def alike(context):
+def same_outcome(context):
     @FIXED
     @generated(STEPS, st.lists(st.integers(1, 200), min_size=40, max_size=40))
     def check(steps, memories):
