--- a/src/cardamomgrade/net.py
+++ b/src/cardamomgrade/net.py
@@ -24,7 +24,8 @@
     """One TCP connection.
 
     The owner sets ``on_data(data)`` and ``on_close()``. ``on_close`` is called once
-    when the peer closes or an error occurs, but not after ``close`` or ``abort``.
+    when the peer closes or an error occurs, but not when the connection is closed by
+    ``close`` or ``abort``.
     """
 
     def __init__(self, net, sock, peer):
@@ -80,7 +81,7 @@
         self._close_sock()
 
     def pause_reads(self, paused):
-        """Stop or resume reading; while stopped, the peer's writes block in the end."""
+        """Stop or resume reading; a peer that keeps writing blocks while stopped."""
         if not self.closed:
             self._net.watch_reads(self._sock, not paused)
 
