--- a/src/cardamomgrade/demand.py
+++ b/src/cardamomgrade/demand.py
@@ -1,4 +1,4 @@
-"""What an entry lacks in slot tokens, and whom it asks for them when."""
+"""Slot tokens that an entry lacks: which peers it asks for them, and when."""
 
 import itertools
 
@@ -6,13 +6,13 @@
 
 from .messages import Ask
 
-ASK_MIN_S = 0.005
-ASK_MAX_S = 0.16
+ASK_DELAY_MIN_S = 0.005
+ASK_DELAY_MAX_S = 0.16
 
 
 @attrs.frozen
 class Lender:
-    """A peer to ask; ``owes`` when it holds home tokens of the asker."""
+    """A peer to ask; ``owes`` is whether it holds home tokens of this entry."""
 
     seat: str
     owes: bool
@@ -20,71 +20,79 @@
 
 @attrs.frozen
 class Request:
-    """An Ask for one peer."""
+    """An Ask message for the peer in ``seat``."""
 
     seat: str
     message: Ask
 
 
 class Demand:
-    """Lacking tokens by group of endpoints; groups do not overlap.
+    """Number of lacking tokens by group of endpoints; groups do not overlap.
 
-    Asks are spread over the peers and become rarer while nothing is given.
+    A count is divided among the peers. The delay between asks doubles from
+    ASK_DELAY_MIN_S to ASK_DELAY_MAX_S until tokens arrive or a need ends.
     """
 
     def __init__(self):
-        self._wants = {}
-        self._wanted = frozenset()
+        self._counts = {}
+        self._endpoints = frozenset()
         self._sequence = itertools.count(1)
         self._due_s = 0.0
-        self._delay_s = ASK_MIN_S
+        self._delay_s = ASK_DELAY_MIN_S
 
     def set(self, endpoints, count):
-        """Set the tokens lacking on a tuple of endpoints.
+        """Set how many tokens are lacking on a tuple of endpoints.
 
-        It takes the place of what was lacking on any of these endpoints before.
+        Other groups that contain any of these endpoints are removed.
         """
-        if endpoints not in self._wants:
+        if endpoints not in self._counts:
             self._drop_overlaps(endpoints)
         if count > 0:
-            self._wants[endpoints] = count
-        elif self._wants.pop(endpoints, None) is not None:
-            self._delay_s = ASK_MIN_S
-        if count <= 0 or not self._wanted.issuperset(endpoints):
-            self._wanted = frozenset(itertools.chain.from_iterable(self._wants))
+            self._counts[endpoints] = count
+        elif self._counts.pop(endpoints, None) is not None:
+            self._delay_s = ASK_DELAY_MIN_S
+        if count <= 0 or not self._endpoints.issuperset(endpoints):
+            self._endpoints = frozenset(itertools.chain.from_iterable(self._counts))
 
     def _drop_overlaps(self, endpoints):
-        for key in list(self._wants):
+        for key in list(self._counts):
             if not set(key).isdisjoint(endpoints):
-                del self._wants[key]
-                self._wanted = frozenset(itertools.chain.from_iterable(self._wants))
+                del self._counts[key]
+                self._endpoints = frozenset(itertools.chain.from_iterable(self._counts))
 
     def lacks(self, endpoint):
         """Return whether requests are waiting for an endpoint."""
-        return endpoint in self._wanted
+        return endpoint in self._endpoints
 
     def gained(self):
-        """Note that tokens came: the next lack is asked for soon."""
-        self._delay_s = ASK_MIN_S
+        """Reset the delay between asks, as tokens have arrived."""
+        self._delay_s = ASK_DELAY_MIN_S
 
     def due(self, now):
-        """Return the groups to ask for now, and count it as asked."""
-        if not self._wants or now < self._due_s:
+        """Return the groups to ask for now and start the delay until the next time.
+
+        ``now`` is in seconds of the same clock at each call.
+        """
+        if not self._counts or now < self._due_s:
             return []
         self._due_s = now + self._delay_s
-        self._delay_s = min(2 * self._delay_s, ASK_MAX_S)
-        return list(self._wants)
+        self._delay_s = min(2 * self._delay_s, ASK_DELAY_MAX_S)
+        return list(self._counts)
 
     def requests(self, endpoints, lenders, locked):
-        """Return a Request for each peer to ask, those that owe tokens first."""
+        """Return Requests for a group: at most one more peer than tokens are lacking.
+
+        Peers that owe tokens come first; the first of equal peers changes each time.
+        ``lenders`` is a list of Lender, ``locked`` is passed on in the Ask.
+        """
         if not lenders:
             return []
-        count = self._wants[endpoints]
-        turn = next(self._sequence) % len(lenders)
-        order = lenders[turn:] + lenders[:turn]
+        count = self._counts[endpoints]
+        start = next(self._sequence) % len(lenders)
+        order = lenders[start:] + lenders[:start]
         order.sort(key=lambda lender: not lender.owes)
-        share = -(-count // len(lenders))
+        per_peer = -(-count // len(lenders))
         return [
-            Request(lender.seat, Ask(next(self._sequence), endpoints, share, locked))
+            Request(lender.seat, Ask(next(self._sequence), endpoints, per_peer, locked))
             for lender in order[: count + 1]
         ]
--- a/src/cardamomgrade/entry.py
+++ b/src/cardamomgrade/entry.py
@@ -1,17 +1,17 @@
-"""Program ``cardamom-entry``: HTTP from callers to endpoints."""
+"""Program ``cardamom-entry``: forwards HTTP requests of callers to endpoints."""
 
 import attrs
 
 from . import settings
 from .auth import KEY_MIN_CHARS, shared_key
 from .command import settings_command
-from .departures import Departures
 from .dispatch import Dispatcher
 from .entry_events import EntryStarted, EntryStopped, EntryStopping
 from .errors import SettingsError
 from .fleet import LEASE_MS
 from .journal import note, start_journal
 from .keys import Keys
+from .leaving import LeavingVms
 from .link import Identity
 from .loop import Loop
 from .member import Member, Seat
@@ -21,19 +21,19 @@
 from .net import Net, parse_address
 from .ops import OpsServer
 from .outcome import refused, response_for
-from .recent import Recent
+from .quota import FixedQuota
+from .recent import RequestHistory
 from .records import STREAM_FLEET
 from .refusal import Reason, Refusal
 from .route import new_request_id
 from .server import CONNECTION_LIMIT, HttpServer, ServerLimits
 from .settings import option
-from .share import FixedShare
 from .wire import BODY_LIMIT_BYTES
 
-FINISH_LIMIT_S = 15.0
-FINISH_POLL_S = 0.02
-SWEEP_S = 5.0
-KEY_MEMORY_S = 86400
+DRAIN_LIMIT_S = 15.0
+DRAIN_POLL_S = 0.02
+SWEEP_INTERVAL_S = 5.0
+DEFAULT_KEY_MEMORY_S = 86400
 BODY_MAX_BYTES = 3 * 1024 * 1024
 _ADDRESS = "ip:port"
 
@@ -42,7 +42,7 @@
 class EntrySettings:
     """Settings of an entry.
 
-    Without peers it uses a fixed share of every endpoint's slots.
+    Without peers it uses a fixed quota of every endpoint's slots.
     """
 
     name: str = option("node", settings.name, "the name of a seat")
@@ -90,7 +90,7 @@
 
 @attrs.frozen
 class EntryView:
-    """What an entry tells operators about itself; ``tail`` is the log's."""
+    """The status page of an entry; ``tail`` is the offset of the log's end."""
 
     name: str
     incarnation: int
@@ -106,7 +106,10 @@
 
 
 class Entry:
-    """One entry on a loop; ``on_end()`` is called when it has left in order."""
+    """One entry on a loop; ``on_end()`` is called after its orderly shutdown.
+
+    By default that ends the loop.
+    """
 
     def __init__(self, loop, cfg, on_end=None):
         self._loop = loop
@@ -114,14 +117,14 @@
         self._cfg = cfg
         self._on_end = on_end or loop.finish
         self.metrics = Metrics()
-        self.recent = Recent(self.metrics)
+        self.recent = RequestHistory(self.metrics)
         seat = Seat(cfg.name, cfg.zone, cfg.listen)
         self.mesh = self._make_mesh(seat) if cfg.peers else None
-        ledger = self.mesh.ledger if self.mesh else FixedShare()
-        self.departures = self._make_departures()
+        ledger = self.mesh.ledger if self.mesh else FixedQuota()
+        self.leaving_vms = self._make_leaving_vms()
         self.member = self._make_member(seat)
         self.keys = Keys(
-            loop, self._net, cfg.log, seat, self._memory_ms, self.recent.decide
+            loop, self._net, cfg.log, seat, self._key_memory_ms, self.recent.record
         )
         self.dispatcher = Dispatcher(
             loop,
@@ -134,31 +137,31 @@
         )
         limits = ServerLimits(cfg.body_bytes, cfg.connections)
         self._server = HttpServer(
-            loop, self._net, self.dispatcher.handle, limits, self._refusal
+            loop, self._net, self.dispatcher.handle, limits, self._refusal_response
         )
         self.ops = OpsServer(loop, cfg.ops_listen, cfg.ops_key, self._views())
         self._stopping = False
 
-    def _make_departures(self):
+    def _make_leaving_vms(self):
         if not self._cfg.vms:
             return None
-        return Departures(self._loop, self._net, self._cfg.vms)
+        return LeavingVms(self._loop, self._net, self._cfg.vms)
 
     def _make_mesh(self, seat):
         identity = Identity(seat.name, seat.incarnation, self._cfg.mesh_key)
         hooks = MeshHooks(
             status=self._mesh_status,
-            on_raw=self._take_raw,
+            on_raw=self._accept_raw,
             on_fresh=lambda sent_s: self.member.freshen(sent_s),
             append=self._append_for_peer,
             on_missing=self._on_missing,
             on_superseded=lambda incarnation: self.stop(),
-            on_tokens=lambda: self.dispatcher.pump(),
+            on_tokens=lambda: self.dispatcher.send_queued(),
         )
         return Mesh(self._loop, self._net, identity, self._cfg.peers, hooks)
 
     def _make_member(self, seat):
-        hooks = {"departures": self.departures or ()}
+        hooks = {"departures": self.leaving_vms or ()}
         if self.mesh:
             hooks |= {
                 "on_first": self.mesh.ledger.prove_first,
@@ -185,7 +188,7 @@
             follower.feed.next_offset, self.keys.next_offset, follower.proof_s
         )
 
-    def _take_raw(self, stream, raw):
+    def _accept_raw(self, stream, raw):
         if stream == STREAM_FLEET:
             self.member.follower.feed.accept(raw)
 
@@ -194,7 +197,10 @@
             self.member.follower.feed.append(record)
 
     def _on_missing(self, stream, earliest):
-        """Begin at the first record that peers keep when nothing was read yet."""
+        """Restart at the peers' earliest record when they lack the next one.
+
+        Only while the log is unreachable, since the log may still have it.
+        """
         follower = self.member.follower
         if not follower.feed.reachable and earliest > follower.feed.next_offset:
             follower.lose(earliest)
@@ -213,7 +219,7 @@
         return self.view()
 
     def view(self):
-        """Return the EntryView of now."""
+        """Return the current EntryView."""
         member, follower = self.member, self.member.follower
         bundle = member.state.bundle
         return EntryView(
@@ -231,21 +237,24 @@
         )
 
     def start(self):
-        """Listen for callers and begin to read the log; return the port."""
+        """Listen for callers and start to read the log; return the port for callers."""
         port = self._server.listen(*parse_address(self._cfg.listen))
         if self.mesh:
             self.mesh.start(self._cfg.mesh_listen)
-        if self.departures:
-            self.departures.start()
+        if self.leaving_vms:
+            self.leaving_vms.start()
         self.member.start()
         self.keys.start()
-        self._loop.call_every(SWEEP_S, self.dispatcher.sweep)
+        self._loop.call_every(SWEEP_INTERVAL_S, self.dispatcher.sweep)
         self._loop.on_stop(self.stop)
         note(EntryStarted(self._cfg.listen, self.member.seat.incarnation))
         return port
 
     def stop(self):
-        """Leave in order: finish what is in flight, tell the log, end the loop."""
+        """Shut down: finish open requests, append the leave to the log, end the loop.
+
+        After DRAIN_LIMIT_S the open requests are abandoned, and no leave is appended.
+        """
         if self._stopping:
             return
         self._stopping = True
@@ -253,36 +262,36 @@
         self._net.close_listeners()
         self.dispatcher.close()
         self._server.drain()
-        self._finish(self._loop.now() + FINISH_LIMIT_S)
+        self._drain(self._loop.now() + DRAIN_LIMIT_S)
 
-    def _finish(self, limit):
-        left = self.dispatcher.open_requests
-        if left and self._loop.now() < limit:
-            self._loop.call_later(FINISH_POLL_S, lambda: self._finish(limit))
+    def _drain(self, limit):
+        unfinished = self.dispatcher.open_requests
+        if unfinished and self._loop.now() < limit:
+            self._loop.call_later(DRAIN_POLL_S, lambda: self._drain(limit))
             return
 
-        def gone(confirmed):
-            note(EntryStopped(left, confirmed))
+        def on_left(confirmed):
+            note(EntryStopped(unfinished, confirmed))
             if self.mesh:
                 self.mesh.close()
             self._on_end()
 
-        if left:
-            gone(False)
+        if unfinished:
+            on_left(False)
         else:
-            self.member.leave(gone)
+            self.member.leave(on_left)
 
-    def _memory_ms(self):
+    def _key_memory_ms(self):
         bundle = self.member.state.bundle
-        return (bundle.key_memory_s if bundle else KEY_MEMORY_S) * 1000
+        return (bundle.key_memory_s if bundle else DEFAULT_KEY_MEMORY_S) * 1000
 
-    def _refusal(self, status, detail):
+    def _refusal_response(self, status, detail):
         request_id = new_request_id(self._cfg.name)
         return response_for(request_id, refused(status, detail))
 
 
 def run(cfg):
-    """Run an entry until it is told to stop."""
+    """Run an entry until it is stopped."""
     start_journal("cardamom-entry", cfg.name)
     loop = Loop()
     Entry(loop, cfg).start()
--- a/src/cardamomgrade/entry_events.py
+++ b/src/cardamomgrade/entry_events.py
@@ -1,4 +1,4 @@
-"""Numbered events of an entry (300 to 349) and of its routing (350 to 399)."""
+"""Log events of an entry (numbers 300 to 349) and of its routing (350 to 399)."""
 
 import logging
 
@@ -15,21 +15,21 @@
 
 @event(301)
 class EntryMember:
-    """The log holds the entry as a member under this incarnation."""
+    """The log has recorded the entry as a member with this incarnation."""
 
     incarnation: int
 
 
 @event(302)
 class EntryStopping:
-    """The entry accepts nothing more and finishes what is in flight."""
+    """The entry accepts no new requests and finishes those in flight."""
 
     in_flight: int
 
 
 @event(303)
 class EntryStopped:
-    """The entry ends; ``left`` tells whether the log took its leave."""
+    """The entry ends; ``left`` is whether the log confirmed that it has left."""
 
     unfinished: int
     left: bool
@@ -37,7 +37,7 @@
 
 @event(304)
 class BundleInForce:
-    """The entry routes by another bundle from here on."""
+    """The entry routes by this bundle from now on."""
 
     version: int
     offset: int
@@ -45,21 +45,21 @@
 
 @event(305, logging.WARNING)
 class FreshnessLost:
-    """The last read of the fleet's tail is older than the lease."""
+    """The last read of the end of the fleet stream is older than the lease."""
 
     offset: int
 
 
 @event(306)
 class FreshnessRegained:
-    """The fleet's tail was read again."""
+    """The end of the fleet stream was read again."""
 
     offset: int
 
 
 @event(307)
 class AppendOwed:
-    """A record that the entry owes the log is appended (again)."""
+    """The entry appends, or appends again, a record that the log lacks."""
 
     record: str
     batch: int
@@ -67,7 +67,7 @@
 
 @event(308, logging.WARNING)
 class AppendFailed:
-    """The log did not confirm an append; it is settled by reading."""
+    """The log did not confirm an append; later reads show whether it took place."""
 
     record: str
     reason: str
@@ -75,7 +75,7 @@
 
 @event(309, logging.WARNING)
 class BadLogRecord:
-    """A record of a stream cannot be read; it is skipped."""
+    """A record of a stream cannot be decoded and is skipped."""
 
     stream: str
     offset: int
@@ -100,7 +100,7 @@
 
 @event(350)
 class RequestRouted:
-    """An endpoint was chosen; ``refused`` counts the others by reason."""
+    """An endpoint was chosen; ``refused`` counts the rejected ones by reason."""
 
     request: str
     service: str
@@ -112,7 +112,7 @@
 
 @event(351)
 class RequestQueued:
-    """No endpoint could take the request; it waits."""
+    """No endpoint could take the request; the queue now holds ``waiting`` requests."""
 
     request: str
     service: str
@@ -122,7 +122,7 @@
 
 @event(352)
 class RequestAnswered:
-    """An endpoint's answer was given to the caller."""
+    """An endpoint's response was sent to the caller after ``ms`` milliseconds."""
 
     request: str
     service: str
@@ -133,7 +133,7 @@
 
 @event(353)
 class RequestEnded:
-    """The caller was given the entry's own answer."""
+    """The caller got the entry's own reply in place of an endpoint's response."""
 
     request: str
     service: str
@@ -144,7 +144,7 @@
 
 @event(354)
 class AttemptFailed:
-    """An endpoint gave no whole answer; ``sent`` tells if it was given a byte."""
+    """An attempt got no whole response; ``sent`` is whether any byte was sent."""
 
     request: str
     vm: str
@@ -154,7 +154,7 @@
 
 @event(355)
 class CallerLeft:
-    """The caller closed its connection before its answer."""
+    """The caller closed its connection before the response was sent."""
 
     request: str
     running: bool
@@ -162,7 +162,7 @@
 
 @event(356, logging.WARNING)
 class EndpointEjected:
-    """An endpoint gets no requests for a while."""
+    """An endpoint gets no requests for ``delay_s`` seconds."""
 
     vm: str
     reason: str
@@ -171,14 +171,14 @@
 
 @event(357)
 class EndpointRestored:
-    """An ejected endpoint takes part again."""
+    """An ejected endpoint gets requests again."""
 
     vm: str
 
 
 @event(358)
 class KeyOwned:
-    """The log gave an idempotency key to this request."""
+    """The log has recorded this request as the owner of its idempotency key."""
 
     request: str
     offset: int
@@ -186,6 +186,6 @@
 
 @event(359)
 class KeyReleaseOwed:
-    """A claimed request did not run; its key is released."""
+    """A request with a claimed idempotency key did not run; the key is released."""
 
     request: str
--- a/src/cardamomgrade/share.py
+++ b/src/cardamomgrade/quota.py
@@ -1,22 +1,25 @@
-"""A fixed share of each endpoint's slots, for entries that do not exchange them."""
+"""Fixed slot quotas, for entries that exchange no slots with peers."""
 
 
-class FixedShare:
-    """Grants an equal share of the slots of each endpoint to every seat."""
+class FixedQuota:
+    """Ledger that divides the slots of each endpoint equally among the seats."""
 
     def __init__(self):
-        self._shares = {}
+        self._quotas = {}
         self._taken = {}
 
     def configure(self, endpoints, seats, longest_deadline_s):
-        """Take the slots of a bundle, a dict of counts by endpoint."""
-        self._shares = {
+        """Set the quotas from a bundle; ``endpoints`` is {name: number of slots}.
+
+        Each seat has at least one slot of each endpoint.
+        """
+        self._quotas = {
             name: max(1, slots // len(seats)) for name, slots in endpoints.items()
         }
 
     def available(self, endpoint):
         """Return how many more requests may be sent to an endpoint."""
-        return self._shares.get(endpoint, 0) - self._taken.get(endpoint, 0)
+        return self._quotas.get(endpoint, 0) - self._taken.get(endpoint, 0)
 
     def take(self, endpoint):
         """Take a slot; return whether there was one."""
@@ -30,4 +33,4 @@
         self._taken[endpoint] -= 1
 
     def want(self, endpoints, count):
-        """Take note of lacking slots; a fixed share does not grow."""
+        """Ignore a request for more slots: a quota does not grow."""
--- a/src/cardamomgrade/recent.py
+++ b/src/cardamomgrade/recent.py
@@ -1,4 +1,4 @@
-"""The decisions about recent requests, for the operators' explain view."""
+"""Events of recent requests, for the operators' explain view."""
 
 from collections import OrderedDict
 
@@ -8,16 +8,14 @@
 from .journal import note
 from .refusal import Reason, Refusal
 
-RECENT_REQUESTS = 1000
-DECISIONS_A_REQUEST = 20
-
-
+REQUESTS_LIMIT = 1000
+EVENTS_PER_REQUEST_LIMIT = 20
 MS_PER_S = 1000
 
 
 @attrs.frozen
 class Decision:
-    """One event about a request, with its number and name."""
+    """One event of a request, with its number and name."""
 
     number: int
     name: str
@@ -26,22 +24,25 @@
 
 @attrs.frozen
 class RequestStory:
-    """The decisions about one request, oldest first."""
+    """The events of one request, oldest first."""
 
     request: str
     decisions: tuple
 
 
-class Recent:
-    """Logs, counts and keeps the events of the last requests by request id."""
+class RequestHistory:
+    """Logs and counts request events and keeps those of the last ``limit`` requests."""
 
-    def __init__(self, metrics, limit=RECENT_REQUESTS):
+    def __init__(self, metrics, limit=REQUESTS_LIMIT):
         self._metrics = metrics
         self._limit = limit
         self._events = OrderedDict()
 
-    def decide(self, item):
-        """Log an event that has a ``request``, count it and keep it."""
+    def record(self, item):
+        """Log, count and keep an event that has a ``request`` id.
+
+        Of each request the first EVENTS_PER_REQUEST_LIMIT events are kept.
+        """
         note(item)
         self._metrics.count(type(item).__name__)
         if isinstance(item, RequestAnswered):
@@ -51,7 +52,7 @@
             events = self._events[item.request] = []
             if len(self._events) > self._limit:
                 self._events.popitem(last=False)
-        if len(events) < DECISIONS_A_REQUEST:
+        if len(events) < EVENTS_PER_REQUEST_LIMIT:
             events.append(item)
 
     def find(self, request):
@@ -59,7 +60,7 @@
         return list(self._events.get(request, ()))
 
     def explain(self, request):
-        """Return the RequestStory of a request, or a Refusal."""
+        """Return the RequestStory of a request id, or a Refusal when none is kept."""
         events = self.find(request)
         if not events:
             return Refusal(Reason.UNKNOWN, f"no recent request {request}")
--- a/src/cardamomgrade/refusal.py
+++ b/src/cardamomgrade/refusal.py
@@ -1,4 +1,4 @@
-"""Sentinel values that say why an operation was refused."""
+"""Falsy results that give the reason why an operation was refused."""
 
 from enum import Enum, unique
 
@@ -7,7 +7,7 @@
 
 @unique
 class Reason(Enum):
-    """Machine-readable reasons of a refusal."""
+    """Machine-readable reasons of a refusal; the values are on the wire."""
 
     ALREADY_DONE = "already-done"
     BAD_VALUE = "bad-value"
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class Refusal:
-    """A falsy result that carries a reason and a sentence for people."""
+    """A falsy result with a reason and a readable detail, which may be empty."""
 
     reason: Reason
     detail: str = ""
--- a/src/cardamomgrade/retry.py
+++ b/src/cardamomgrade/retry.py
@@ -1,46 +1,51 @@
-"""Whether, when and how often a request may be sent again."""
+"""Rules for sending a request to another endpoint: methods, timeout, rate limit."""
 
 import attrs
 
 from .refusal import Reason, Refusal
 
 IDEMPOTENT_METHODS = frozenset(("GET", "HEAD", "PUT", "DELETE", "OPTIONS", "TRACE"))
-RETRY_SHARE = 0.1
-RETRY_BURST = 10.0
-RETRY_START = 1.0
-TRIES_LIMIT = 3
-TYPICAL_FACTOR = 8
+RETRIES_PER_REQUEST = 0.1
+RETRY_MAX_TOKENS = 10.0
+RETRY_INITIAL_TOKENS = 1.0
+MAX_ATTEMPTS = 3
+SLOW_ATTEMPT_FACTOR = 8
 RETRY_STATUS = frozenset((500, 502, 503, 504))
 
 
 def may_repeat(policy, method):
-    """Return whether ``method`` is safe to send twice under a service's policy."""
+    """Return whether ``method`` may be sent twice under a service's policy."""
     if policy == "all":
         return True
     return policy == "safe" and method in IDEMPOTENT_METHODS
 
 
-def try_timeout_s(remaining_s, typical_s):
-    """Return how long a repeatable request waits for its first endpoint.
+def attempt_timeout_s(remaining_s, typical_s):
+    """Return the seconds after which a repeatable request tries another endpoint.
 
-    Half of the time left is kept for another endpoint, unless requests usually
-    take so long that a slow one is no sign of a fault.
+    Half of the remaining time is kept for the other endpoint. The timeout is at least
+    SLOW_ATTEMPT_FACTOR times the typical time of a request, since a shorter wait is
+    no sign of a fault, and at most the remaining time.
     """
-    return min(remaining_s, max(remaining_s / 2, TYPICAL_FACTOR * typical_s))
+    return min(remaining_s, max(remaining_s / 2, SLOW_ATTEMPT_FACTOR * typical_s))
 
 
 @attrs.define
 class RetryAllowance:
-    """Token bucket that bounds the retries of a service to a share of its load."""
+    """Token bucket that limits the retries of a service to a fraction of its requests.
 
-    _tokens: float = RETRY_START
+    Each request adds RETRIES_PER_REQUEST tokens, up to RETRY_MAX_TOKENS; a retry
+    takes one.
+    """
+
+    _tokens: float = RETRY_INITIAL_TOKENS
 
-    def earn(self):
-        """Count a request that was sent for the first time."""
-        self._tokens = min(RETRY_BURST, self._tokens + RETRY_SHARE)
+    def count_request(self):
+        """Add the tokens of a request that is sent for the first time."""
+        self._tokens = min(RETRY_MAX_TOKENS, self._tokens + RETRIES_PER_REQUEST)
 
-    def spend(self):
-        """Return True and take one retry, or a Refusal."""
+    def take_retry(self):
+        """Take one token and return True, or return a Refusal when there is none."""
         if self._tokens < 1.0:
             return Refusal(Reason.OVERLOADED, "retry allowance is used up")
         self._tokens -= 1.0
--- a/src/cardamomgrade/route.py
+++ b/src/cardamomgrade/route.py
@@ -1,72 +1,79 @@
-"""What is derived from a caller's request before it is queued or sent."""
+"""Matching of a caller's request to a service, with its deadline and key."""
 
 import secrets
 
 import attrs
 
 from .claim import claim_key, KEY_LIMIT_CHARS
-from .outcome import refused, Verdict
+from .outcome import LocalReply, refused
 from .retry import may_repeat
 from .wire import end_to_end_headers, HttpRequest
 
 DEADLINE_HEADER = "deadline-ms"
 KEY_HEADER = "idempotency-key"
 CALLER_HEADER = "caller"
-ID_BYTES = 8
-_REPLACED = (b"request-id", b"content-length", b"expect")
+REQUEST_ID_BYTES = 8
+_REPLACED_HEADERS = (b"request-id", b"content-length", b"expect")
 
 
 @attrs.define(eq=False)
-class Job:
-    """One request of a caller; times are seconds of the loop's clock.
-
-    ``sent`` tells whether a byte of it was handed to any endpoint. ``answer`` is an
-    endpoint's error answer, kept while another endpoint is tried.
+class PendingRequest:
+    """A caller's request from its arrival to its end; times are on the loop's clock.
+
+    ``key`` is the digest of its idempotency key; ``owns_key`` is set when this request
+    has claimed it. ``sent`` is set when any byte was sent to any endpoint, ``done``
+    when it has ended. ``tried`` lists the Candidates it was sent to, and ``attempt`` is
+    the one that runs. ``error_response`` is an endpoint's error response, kept while
+    another endpoint is tried. ``queued`` is its place in the queue.
     """
 
     id: str
     exchange: object
     service: object
     caller: str
-    started: float
+    received: float
     deadline: float
     repeatable: bool
     key: bytes | None = None
-    owned: bool = False
+    owns_key: bool = False
     sent: bool = False
     done: bool = False
-    gone: bool = False
+    caller_left: bool = False
     tried: list = attrs.field(factory=list)
-    answer: object = None
-    waiting: object = None
+    error_response: object = None
+    queued: object = None
     attempt: object = None
     timer: object = None
 
 
 def new_request_id(seat):
-    """Return an id that no other request has."""
-    return f"{seat}-{secrets.token_hex(ID_BYTES)}"
+    """Return a random request id that starts with the seat's name."""
+    return f"{seat}-{secrets.token_hex(REQUEST_ID_BYTES)}"
 
 
 def find_service(bundle, path):
-    """Return the service with the longest prefix of ``path``, or None."""
+    """Return the service whose path is the longest prefix of ``path``, or None."""
     best = None
     for service in bundle.services.values():
-        if _under(path, service.path) and (
+        if _path_has_prefix(path, service.path) and (
             best is None or len(service.path) > len(best.path)
         ):
             best = service
     return best
 
 
-def _under(path, prefix):
+def _path_has_prefix(path, prefix):
     if not path.startswith(prefix):
         return False
     return prefix.endswith("/") or path[len(prefix) : len(prefix) + 1] in ("", "/")
 
 
 def deadline_ms(service, req):
-    """Return the shorter of the service's and the caller's deadline, or a Verdict."""
+    """Return the shorter of the service's and the caller's deadline in ms.
+
+    A Deadline-Ms header that is not a positive number of at most 9 digits gives a
+    LocalReply.
+    """
     text = req.header(DEADLINE_HEADER)
     if not text:
         return service.deadline_ms
@@ -75,8 +82,11 @@
     return min(service.deadline_ms, int(text))
 
 
-def key_of(service, req):
-    """Return the digest of the request's idempotency key, None or a Verdict."""
+def key_digest(service, req):
+    """Return the digest of the request's idempotency key, or None without one.
+
+    A repeated header or a key of the wrong length gives a LocalReply.
+    """
     values = [value for name, value in req.headers if name == KEY_HEADER.encode()]
     if not values:
         return None
@@ -85,19 +95,22 @@
     return claim_key(service.name, values[0].decode("latin-1"))
 
 
-def open_job(bundle, exchange, request_id, now):
-    """Return the Job of a request, or the Verdict that it is refused."""
+def admit_request(bundle, exchange, request_id, now):
+    """Return the PendingRequest of an exchange, or the LocalReply that refuses it.
+
+    A request with an idempotency key is never repeatable.
+    """
     req = exchange.req
     service = find_service(bundle, req.path)
     if service is None:
         return refused(404, "no service has this path")
     limit_ms = deadline_ms(service, req)
-    if isinstance(limit_ms, Verdict):
+    if isinstance(limit_ms, LocalReply):
         return limit_ms
-    key = key_of(service, req)
-    if isinstance(key, Verdict):
+    key = key_digest(service, req)
+    if isinstance(key, LocalReply):
         return key
-    return Job(
+    return PendingRequest(
         request_id,
         exchange,
         service,
@@ -112,7 +125,9 @@
 def forwarded_request(req, request_id, address):
     """Return the request as it is sent to the endpoint at ``address``."""
     headers = [
-        pair for pair in end_to_end_headers(req.headers) if pair[0] not in _REPLACED
+        pair
+        for pair in end_to_end_headers(req.headers)
+        if pair[0] not in _REPLACED_HEADERS
     ]
     if not req.header("host"):
         headers.append((b"host", address.encode()))
