--- a/tests/entry.feature
+++ b/tests/entry.feature
@@ -4,12 +4,12 @@
     Given two entries, 2 endpoints and a bundle
     When a caller sends POST /notices/7 with the body "pay"
     Then the answer is 200 and ends with "pay"
-    And it names the request and the endpoint ran it once
+    And it has the id of the request and one endpoint ran it once
 
   Scenario: nothing runs before a bundle is in force
     Given an entry without a bundle
     When a caller sends POST /notices/7 with the body "pay"
-    Then it is not run and the caller is told when to come back
+    Then the answer is 503 and not-run with a Retry-After of at least 1 s
 
   Scenario Outline: unacceptable requests are refused
     Given two entries, 1 endpoints and a bundle
@@ -29,9 +29,9 @@
       | GET /notices HTTP/1.1\r\nHost: e\r\nA: b\r\n c\r\n\r\n                       | 400    |
       | POST /notices HTTP/1.1\r\nHost: e\r\nContent-Length: 9999999\r\n\r\n         | 413    |
 
-  Scenario Outline: any final status passes through whole
+  Scenario Outline: any final status is passed through with its body
     Given two entries, 1 endpoints and a bundle
-    When a caller sends <method> /notices with the status <status> wanted
+    When a caller sends <method> /notices that asks for the status <status>
     Then the answer has the status <status> and the endpoint's <body>
 
     Examples:
@@ -48,28 +48,28 @@
   Scenario: entries together never run more on an endpoint than its slots
     Given two entries, 2 endpoints and a bundle
     When 60 requests of 20 ms arrive at once at each entry
-    Then every request has one answer and is answered or not-run
+    Then every request has one answer, from an endpoint or not-run
     And no endpoint ever ran more than 4 at once
-    And what was told not-run did not run and the rest ran once
+    And requests with the outcome not-run did not run and the others ran once
 
   Scenario: connections to an endpoint are bounded below its slots
     Given two entries whose pool allows 4 connections and 4 slots
     When 30 requests of 20 ms arrive at once at e1 alone
-    Then every request has one answer and is answered or not-run
+    Then every request has one answer, from an endpoint or not-run
     And no endpoint ever ran more than 4 at once
     And no entry ever had more than 2 connections to it or ejected it
 
-  Scenario: an entry serves while another seat has never been taken
+  Scenario: an entry serves while another seat has never had a member
     Given 2 endpoints, a bundle and only e1 of two seats
     When 30 requests of 20 ms arrive at once at e1 alone
-    Then every request has one answer and is answered or not-run
+    Then every request has one answer, from an endpoint or not-run
     And some were answered and no endpoint ever ran more than 2 at once
 
-  Scenario: a caller that leaves
+  Scenario: callers that disconnect
     Given two entries, 1 endpoints and a bundle
     When 4 callers send requests of 200 ms and 6 more wait
-    And all callers leave
-    Then only the 4 running requests ran and the entry holds nothing
+    And all callers disconnect
+    Then only the 4 running requests ran and no request or slot is left open
 
   Scenario: pipelined requests are answered in order
     Given two entries, 1 endpoints and a bundle
@@ -79,14 +79,14 @@
   Scenario: a caller that waits for 100-continue
     Given two entries, 1 endpoints and a bundle
     When a caller expects 100-continue for the body "pay"
-    Then it is told to continue and its answer ends with "pay"
+    Then it has got 100 Continue and its answer ends with "pay"
 
-  Scenario Outline: an answer is passed on whole up to the bound of bodies
+  Scenario Outline: a response is passed on whole up to the limit of body size
     Given two entries, 1 endpoints and a bundle
-    When a caller sends a body of <size> bytes that comes back
+    When a caller sends a body of <size> bytes that the endpoint echoes
     Then it gets <given>
 
     Examples:
-      | size    | given             |
-      | 1000000 | its body whole    |
-      | 1048570 | the word unknown  |
+      | size    | given               |
+      | 1000000 | its whole body      |
+      | 1048570 | the outcome unknown |
--- a/tests/entry_process.feature
+++ b/tests/entry_process.feature
@@ -1,6 +1,6 @@
 Feature: entries as processes
 
-  Scenario: SIGTERM finishes what is in flight
+  Scenario: SIGTERM finishes the requests in flight
     Given the entries e1 and e2 as processes and 2 endpoints
     When a request of 700 ms runs through e1 and e1 gets SIGTERM
     Then e1 takes no new requests and ends with 0 after the answer
@@ -15,9 +15,9 @@
 
   Scenario: an entry that was frozen while it claimed a key does not run the request
     Given the entries e1 and e2 as processes and 2 endpoints
-    When e1 freezes with a keyed request whose claim is on its way
-    And e1 wakes when the deadline has passed
-    Then the frozen request is told not-run and ran nowhere
+    When e1 freezes while a request waits for the claim of its idempotency key
+    And e1 resumes when the deadline has passed
+    Then the frozen request is not-run and ran on no endpoint
     And its key can be claimed again through e2
 
   Scenario: an entry that was frozen through the start of a drain
@@ -29,16 +29,16 @@
 
   Scenario: an entry is killed under load and replaced
     Given the entries e1 and e2 as processes and 2 endpoints
-    When 200 requests that must run once go to e1 and e2 and e1 is killed
-    Then no request ran twice and what was told not-run did not run
+    When 200 requests that must not be repeated go to e1 and e2 and e1 is killed
+    Then no request ran twice and none with the outcome not-run ran
     And every request to e2 has an answer
     When the process e1 is replaced
-    Then the new e1 answers requests as a later member
+    Then the new e1 answers requests with a later incarnation
 
   Scenario: an entry starts while the log is down
     Given the entries e1 and e2 as processes and 2 endpoints
     When the log hangs until the lease has passed and e2 is killed
     And the process e2 is replaced
-    Then the new e2 answers requests and refuses keyed ones
+    Then the new e2 answers requests and refuses those with an idempotency key
     When the log answers again
     Then the new e2 becomes a member and e1 delays acknowledgements
--- a/tests/steps/entry.py
+++ b/tests/steps/entry.py
@@ -1,4 +1,4 @@
-"""Steps for the entry program and its shells."""
+"""Steps for an entry on one loop with its callers and endpoints."""
 
 import json
 
@@ -16,7 +16,7 @@
 
 
 @given("two entries whose pool allows 4 connections and 4 slots")
-def few_connections(context):
+def limited_connections(context):
     world = context.world = World(seats=("e1", "e2"))
     world.connections = 4
     world.endpoint("vm0")
@@ -60,8 +60,8 @@
     context.answer = context.world.ask(method, path, body=body.encode())
 
 
-@when("a caller sends {method} /notices with the status {status:d} wanted")
-def wants_status(context, method, status):
+@when("a caller sends {method} /notices that asks for the status {status:d}")
+def sends_with_status(context, method, status):
     context.answer = context.world.ask(method, "/notices", status=status)
 
 
@@ -71,16 +71,16 @@
     assert context.answer.body.endswith(text.encode())
 
 
-@then("it names the request and the endpoint ran it once")
-def ran_once(context):
-    ident = context.answer.header("cardamom-request")
-    assert ident == context.answer.header("request-id")
+@then("it has the id of the request and one endpoint ran it once")
+def request_ran_once(context):
+    request_id = context.answer.header("cardamom-request")
+    assert request_id == context.answer.header("request-id")
     world = context.world
-    assert sum(item.counts.runs[ident] for item in world.endpoints.values()) == 1
+    assert sum(item.counts.runs[request_id] for item in world.endpoints.values()) == 1
 
 
-@then("the caller is now told {outcome}")
-def told(context, outcome):
+@then("the answer has the outcome {outcome}")
+def has_outcome(context, outcome):
     answer = context.answer
     assert answer.header("cardamom-outcome") == outcome, answer
     body = json.loads(answer.body)
@@ -88,9 +88,9 @@
     assert body["id"] == answer.header("cardamom-request")
 
 
-@then("it is not run and the caller is told when to come back")
-def told_at_once(context):
-    told(context, "not-run")
+@then("the answer is 503 and not-run with a Retry-After of at least 1 s")
+def not_run_with_retry_after(context):
+    has_outcome(context, "not-run")
     assert context.answer.status == 503
     assert int(context.answer.header("retry-after")) >= 1
 
@@ -143,11 +143,11 @@
     world.run_until(lambda: all(context.answers))
 
 
-@then("every request has one answer and is answered or not-run")
+@then("every request has one answer, from an endpoint or not-run")
 def one_answer(context):
     assert all(len(answers) == 1 for answers in context.answers)
-    told = {answers[0].header("cardamom-outcome") for answers in context.answers}
-    assert told == {"", "not-run"}, told
+    outcomes = {answers[0].header("cardamom-outcome") for answers in context.answers}
+    assert outcomes == {"", "not-run"}, outcomes
 
 
 @then("no endpoint ever ran more than {count:d} at once")
@@ -156,12 +156,12 @@
     assert max(item.counts.most_in_flight for item in endpoints) <= count
 
 
-@then("what was told not-run did not run and the rest ran once")
+@then("requests with the outcome not-run did not run and the others ran once")
 def counts_agree(context):
     endpoints = context.world.endpoints.values()
     for answers in context.answers:
-        ident = answers[0].header("cardamom-request")
-        runs = sum(item.counts.runs[ident] for item in endpoints)
+        request_id = answers[0].header("cardamom-request")
+        runs = sum(item.counts.runs[request_id] for item in endpoints)
         assert runs == (0 if answers[0].header("cardamom-outcome") else 1)
 
 
@@ -176,13 +176,13 @@
     world.run_until(lambda: world.endpoints["vm0"].counts.started == 4)
 
 
-@when("all callers leave")
+@when("all callers disconnect")
 def callers_leave(context):
     for client in context.clients:
         client.conn.abort()
 
 
-@then("only the 4 running requests ran and the entry holds nothing")
+@then("only the 4 running requests ran and no request or slot is left open")
 def only_running(context):
     world = context.world
     entry = world.entries["e1"]
@@ -209,13 +209,13 @@
 @then("5 answers come in the order of the requests")
 def in_order(context):
     data = context.client.data
-    places = [data.index(b"body-%d" % number) for number in range(5)]
-    assert places == sorted(places)
+    positions = [data.index(b"body-%d" % number) for number in range(5)]
+    assert positions == sorted(positions)
     assert data.count(b"HTTP/1.1 200") == 5
 
 
 @when('a caller expects 100-continue for the body "{body}"')
-def expects(context, body):
+def expects_continue(context, body):
     world = context.world
     client = context.client = Client(world, world.entry_ports["e1"])
     client.conn.write(
@@ -228,23 +228,23 @@
     world.run_until(lambda: b"HTTP/1.1 200" in client.data)
 
 
-@then('it is told to continue and its answer ends with "{body}"')
-def continued(context, body):
+@then('it has got 100 Continue and its answer ends with "{body}"')
+def has_continue_and_answer(context, body):
     context.world.run_until(lambda: context.client.data.endswith(body.encode()))
 
 
-@when("a caller sends a body of {size:d} bytes that comes back")
+@when("a caller sends a body of {size:d} bytes that the endpoint echoes")
 def sends_large(context, size):
     context.body = b"x" * size
     context.answer = context.world.ask("POST", "/notices", body=context.body)
 
 
-@then("it gets its body whole")
+@then("it gets its whole body")
 def whole_body(context):
     assert context.answer.status == 200
     assert context.answer.body.endswith(context.body)
 
 
-@then("it gets the word unknown")
-def word_unknown(context):
+@then("it gets the outcome unknown")
+def unknown_outcome(context):
     assert context.answer.header("cardamom-outcome") == "unknown"
--- a/tests/steps/entry_faults.py
+++ b/tests/steps/entry_faults.py
@@ -1,4 +1,4 @@
-"""Steps for the failures that an entry meets, on one loop."""
+"""Steps for an entry whose endpoints fail, on one loop."""
 
 import socket
 import struct
@@ -14,7 +14,7 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nRequest-Id: %s\r\nContent-Length: 4\r\n\r\ndone"
 
 
-def answer_whole(conn, request_id):
+def answer_completely(conn, request_id):
     conn.write(ANSWER % request_id)
 
 
@@ -31,16 +31,16 @@
 
 
 FAULTS = {
-    "answers whole": answer_whole,
+    "answers completely": answer_completely,
     "closes before its answer": write_and_close(b""),
-    "closes within its answer": write_and_close((ANSWER % b"x")[:-2]),
+    "closes during its answer": write_and_close((ANSWER % b"x")[:-2]),
     "never answers": write_only(b""),
     "echoes another id": write_only(ANSWER % b"other"),
     "answers without a length": write_and_close(b"HTTP/1.1 200 OK\r\n\r\ndone"),
     "answers with two lengths": write_only(
         b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 5\r\n\r\ndone!"
     ),
-    "answers no HTTP": write_only(b"220 ready\r\n\r\n"),
+    "sends other data than HTTP": write_only(b"220 ready\r\n\r\n"),
 }
 
 
@@ -55,7 +55,9 @@
 def answers_late(context):
     world = context.world = World()
     context.late = []
-    world.scripted("slow", lambda conn, ident: context.late.append((conn, ident)))
+    world.scripted(
+        "slow", lambda conn, request_id: context.late.append((conn, request_id))
+    )
     world.roll()
     world.entry()
 
@@ -68,11 +70,11 @@
     world.entry()
 
 
-@given("an entry, an endpoint that {fault} and a sound one")
-def faulty_and_sound(context, fault):
+@given("an entry, an endpoint that {fault} and a healthy one")
+def faulty_and_healthy(context, fault):
     world = context.world = World()
     add_faulty(world, fault)
-    world.scripted("good", answer_whole)
+    world.scripted("good", answer_completely)
     world.roll()
     world.entry()
 
@@ -91,27 +93,27 @@
     raise AssertionError("the faulty endpoint was never chosen")
 
 
-@then("the caller is told {outcome} at last")
-def told_at_last(context, outcome):
+@then("all answers but the last are 200 and the last is {outcome}")
+def last_has_outcome(context, outcome):
     *first, last = context.answers
     assert all(item.status == 200 for item in first)
     assert (last.header("cardamom-outcome") or "answered") == outcome, last
 
 
-@then("both endpoints together were given each request at most once")
-def given_at_most_once(context):
-    given_to = Counter()
+@then("both endpoints together received each request at most once")
+def received_at_most_once(context):
+    received = Counter()
     for item in context.world.endpoints.values():
-        given_to.update(item.requests)
-    assert set(given_to.values()) == {1}, given_to
+        received.update(item.requests)
+    assert set(received.values()) == {1}, received
 
 
-@when("the late answer has come and the endpoint answers in time")
+@when("the late answer has arrived and the endpoint answers in time")
 def late_answer(context):
     world = context.world
-    for conn, ident in context.late:
-        conn.write(ANSWER % ident)
-    world.endpoints["slow"].script = answer_whole
+    for conn, request_id in context.late:
+        conn.write(ANSWER % request_id)
+    world.endpoints["slow"].script = answer_completely
     world.run_for(0.1)
 
 
@@ -127,14 +129,14 @@
     assert [item.status for item in context.answers] == [200] * len(context.answers)
 
 
-@then("the endpoint was given the request {count:d} times")
-def given_times(context, count):
+@then("the endpoint received the request {count:d} times")
+def received_times(context, count):
     bad = context.world.endpoints.get("bad")
     assert (len(bad.requests) if bad else 0) == count
 
 
 class FakeExchange:
-    """An exchange that keeps its answers."""
+    """An exchange without a connection; ``answers`` lists the responses to it."""
 
     def __init__(self, method="POST", path="/notices"):
         self.req = HttpRequest(method, path)
@@ -146,17 +148,17 @@
         self.answers.append(response)
 
 
-def told_by(exchange):
+def outcome_of(exchange):
     return exchange.answers[0].header("cardamom-outcome") or "answered"
 
 
-@when("a request has been answered and its connection is reset unseen")
-def reset_unseen(context):
+@when("a request has been answered and its connection is reset before the next read")
+def reset_before_read(context):
     world = context.world
     conns = []
-    world.endpoints["bad"].script = lambda conn, ident: (
+    world.endpoints["bad"].script = lambda conn, request_id: (
         conns.append(conn),
-        answer_whole(conn, ident),
+        answer_completely(conn, request_id),
     )
     assert world.ask("POST", "/notices").status == 200
     world.run_for(0.05)
@@ -165,19 +167,19 @@
     conns[0].abort()
 
 
-@when("a request that must run once is handed to the entry")
-def handed(context):
+@when("a request that must not be repeated is given to the entry")
+def given_directly(context):
     context.exchange = FakeExchange()
     context.world.entries["e1"].dispatcher.handle(context.exchange)
     assert not context.exchange.answers
 
 
-@then("it is told unknown and the entry holds nothing after the deadline")
-def unknown_then_free(context):
+@then("its outcome is unknown and after the deadline no request or slot is left open")
+def unknown_then_released(context):
     world = context.world
     dispatcher = world.entries["e1"].dispatcher
     world.run_until(lambda: context.exchange.answers)
-    assert told_by(context.exchange) == "unknown"
+    assert outcome_of(context.exchange) == "unknown"
     world.run_for(2.5 * world.deadline_ms / 1000)
     assert not dispatcher.open_requests
     assert dispatcher.held("bad") == 0
@@ -189,8 +191,8 @@
     assert context.world.ask("POST", "/notices").status == 200
 
 
-@when("1500 callers' requests wait and the entry sleeps past their deadline")
-def sleeps(context):
+@when("1500 requests wait and the entry is blocked past their deadline")
+def blocked_past_deadline(context):
     world = context.world
     dispatcher = world.entries["e1"].dispatcher
     service = world.entries["e1"].member.state.bundle.services["notices"]
@@ -203,7 +205,7 @@
     time.sleep(1.1 * world.deadline_ms / 1000)
 
 
-@then("each has one answer, unknown or not-run, and the entry holds nothing")
+@then("each has one answer, unknown or not-run, and no request or slot is left open")
 def one_answer_each(context):
     world = context.world
     dispatcher = world.entries["e1"].dispatcher
@@ -211,11 +213,11 @@
     world.run_for(1.1 * world.deadline_ms / 1000)
     assert dispatcher.held("bad") == 0
     assert {len(exchange.answers) for exchange in context.exchanges} == {1}
-    told = [told_by(exchange) for exchange in context.exchanges]
-    assert set(told) == {"unknown", "not-run"}
-    assert told.count("unknown") == len(world.endpoints["bad"].requests)
+    outcomes = [outcome_of(exchange) for exchange in context.exchanges]
+    assert set(outcomes) == {"unknown", "not-run"}
+    assert outcomes.count("unknown") == len(world.endpoints["bad"].requests)
 
 
-@when("the ledger of e1 grants a slot no more that it has shown as free")
-def withdrawn(context):
+@when("the ledger of e1 no longer grants a slot that it has reported as free")
+def slots_withdrawn(context):
     context.world.entries["e1"].mesh.ledger.take = lambda vm: False
--- a/tests/steps/entry_fleet.py
+++ b/tests/steps/entry_fleet.py
@@ -1,4 +1,4 @@
-"""Steps for an entry's part in the fleet and towards operators."""
+"""Steps for an entry as a member of the fleet and for its operators' pages."""
 
 import json
 import tempfile
@@ -16,7 +16,7 @@
 from cardamomgrade.wire import HttpResponse
 from harness import ROOT
 
-LEASE_WAIT_S = 5.5
+LEASE_EXPIRY_S = 5.5
 
 
 @when("a request of 600 ms runs on each endpoint")
@@ -36,21 +36,23 @@
     builds_on = world.read[-1].offset
     opened = records.BatchOpened("weekly", 1, ("vm0",), "", builds_on, "c1")
     world.append(opened)
-    context.batch = next(one.offset for one in world.read if one.record == opened)
+    context.batch = next(
+        logged.offset for logged in world.read if logged.record == opened
+    )
 
 
-def said_by_all(context, cls):
-    said = {
-        one.record.entry
-        for one in context.world.read
-        if isinstance(one.record, cls) and one.record.batch == context.batch
+def appended_by_all(context, cls):
+    senders = {
+        logged.record.entry
+        for logged in context.world.read
+        if isinstance(logged.record, cls) and logged.record.batch == context.batch
     }
-    return said == {"e1", "e2"}
+    return senders == {"e1", "e2"}
 
 
 @then("both entries acknowledge the batch")
 def all_acked(context):
-    context.world.run_until(lambda: said_by_all(context, records.BatchAcked))
+    context.world.run_until(lambda: appended_by_all(context, records.BatchAcked))
 
 
 @when("the drain starts")
@@ -81,23 +83,23 @@
         name for name, entry in world.entries.items() if entry.dispatcher.held("vm0")
     ]
     confirmed = [
-        one.record.entry
-        for one in world.read
-        if isinstance(one.record, records.DrainConfirmed)
+        logged.record.entry
+        for logged in world.read
+        if isinstance(logged.record, records.DrainConfirmed)
     ]
     assert held and not set(held) & set(confirmed)
 
 
 @then("both entries confirm the drain after it has ended")
 def all_confirmed(context):
-    context.world.run_until(lambda: said_by_all(context, records.DrainConfirmed))
+    context.world.run_until(lambda: appended_by_all(context, records.DrainConfirmed))
     assert not context.world.endpoints["vm0"].counts.in_flight
 
 
 @when("the log hangs for longer than the lease")
 def log_hangs(context):
     context.world.log.faults.log = "hang"
-    context.world.run_for(LEASE_WAIT_S)
+    context.world.run_for(LEASE_EXPIRY_S)
     members = [entry.member for entry in context.world.entries.values()]
     assert not any(member.follower.fresh() for member in members)
 
@@ -111,10 +113,10 @@
     return json.loads(pages[0].body)
 
 
-@then("the operators' address of e1 explains the request with the shared key")
+@then("the ops address of e1 explains the request, given the shared key")
 def explains(context):
-    ident = context.answer.header("cardamom-request")
-    story = ops_page(context.world, "e1", f"/explain?id={ident}")
+    request_id = context.answer.header("cardamom-request")
+    story = ops_page(context.world, "e1", f"/explain?id={request_id}")
     names = [item["name"] for item in story["decisions"]]
     assert names == ["RequestRouted", "RequestAnswered"], names
     assert story["decisions"][0]["event"]["reason"]
@@ -130,7 +132,7 @@
 
 
 @given("two entries that poll a VM list and 2 endpoints")
-def polled(context):
+def vm_list_polled(context):
     world = context.world = World(seats=("e1", "e2"))
     context.listed, context.list_up = {}, True
 
@@ -158,8 +160,8 @@
     context.world.run_for(2.0)
 
 
-@when("the VM list has not answered for longer than it is believed")
-def list_silent(context):
+@when("the VM list has not answered for longer than a list is valid")
+def list_unanswered(context):
     context.list_up = False
     context.world.run_for(6.0)
 
@@ -167,11 +169,11 @@
 @then("20 requests run on both endpoints")
 def on_both(context):
     world = context.world
-    places = {
+    vms = {
         world.ask("GET", "/notices", f"e{number % 2 + 1}").header("endpoint")
         for number in range(20)
     }
-    assert places == {"vm0", "vm1"}
+    assert vms == {"vm0", "vm1"}
 
 
 @then("every example of an entry's settings is accepted and shows no key")
--- a/tests/steps/entry_process.py
+++ b/tests/steps/entry_process.py
@@ -35,7 +35,7 @@
 
 
 def spawn(context, name):
-    """Start an entry; wait until it answers requests."""
+    """Write the settings of an entry and start its process."""
     world = context.world
     cfg = world.settings(name)
     text = SETTINGS.format(
@@ -53,8 +53,8 @@
     world.entry_ports[name] = int(cfg.listen.rpartition(":")[2])
 
 
-def answers_now(world, entry):
-    """Send requests until one is answered, for 20 s at most."""
+def wait_until_serving(world, entry):
+    """Send requests until one gets a 200, for at most RUN_LIMIT_S."""
     end = world.loop.now() + harness.RUN_LIMIT_S
     while world.loop.now() < end:
         answers = world.send("GET", "/notices", entry)
@@ -65,23 +65,24 @@
     raise AssertionError(f"{entry} does not answer")
 
 
-def joined(world, name):
+def incarnations(world, name):
     return [
-        one.record.incarnation
-        for one in world.read
-        if isinstance(one.record, records.MemberJoined) and one.record.entry == name
+        logged.record.incarnation
+        for logged in world.read
+        if isinstance(logged.record, records.MemberJoined)
+        and logged.record.entry == name
     ]
 
 
-def said(world, cls, name):
+def appended(world, cls, name):
     return [
-        one
-        for one in world.read
-        if isinstance(one.record, cls) and one.record.entry == name
+        logged
+        for logged in world.read
+        if isinstance(logged.record, cls) and logged.record.entry == name
     ]
 
 
-def ended(process):
+def has_ended(process):
     return lambda: process.poll() is not None
 
 
@@ -96,10 +97,10 @@
     for name in ("e1", "e2"):
         spawn(context, name)
     for name in ("e1", "e2"):
-        answers_now(world, name)
+        wait_until_serving(world, name)
 
 
-def runs(world):
+def running(world):
     return sum(item.counts.in_flight for item in world.endpoints.values())
 
 
@@ -107,7 +108,7 @@
 def term_in_flight(context):
     world = context.world
     context.running = world.send("POST", "/notices", "e1", work_ms=700)
-    world.run_until(lambda: runs(world))
+    world.run_until(lambda: running(world))
     context.processes["e1"].send_signal(signal.SIGTERM)
 
 
@@ -125,32 +126,32 @@
     world.run_until(lambda: late)
     assert not isinstance(late[0], HttpResponse)
     assert not context.running
-    world.run_until(ended(process))
+    world.run_until(has_ended(process))
     assert process.returncode == 0
     assert context.running[0].status == 200
 
 
 @then("the log shows that e1 left after its request had ended")
-def left(context):
+def left_after_request(context):
     world = context.world
-    world.run_until(lambda: said(world, records.MemberLeft, "e1"))
-    assert not runs(world)
+    world.run_until(lambda: appended(world, records.MemberLeft, "e1"))
+    assert not running(world)
 
 
 @then("e2 answers requests")
 def e2_answers(context):
-    answers_now(context.world, "e2")
+    wait_until_serving(context.world, "e2")
 
 
 @then("e1 ends with 1 before the request has ended")
 def ends_at_once(context):
     process = context.processes["e1"]
-    context.world.run_until(ended(process))
+    context.world.run_until(has_ended(process))
     assert process.returncode == 1
-    assert runs(context.world) == 1
+    assert running(context.world) == 1
 
 
-@when("e1 freezes with a keyed request whose claim is on its way")
+@when("e1 freezes while a request waits for the claim of its idempotency key")
 def freeze_claiming(context):
     world = context.world
     world.log.faults.slow_ms = SLOW_LOG_MS
@@ -162,8 +163,8 @@
     world.run_until(lambda: world.log.appends > before)
 
 
-@when("e1 wakes when the deadline has passed")
-def wake(context):
+@when("e1 resumes when the deadline has passed")
+def resume(context):
     world = context.world
     world.run_for(1.2 * DEADLINE_MS / 1000)
     assert not context.frozen
@@ -172,7 +173,7 @@
     world.run_until(lambda: context.frozen)
 
 
-@then("the frozen request is told not-run and ran nowhere")
+@then("the frozen request is not-run and ran on no endpoint")
 def frozen_not_run(context):
     world = context.world
     assert context.frozen[0].header("cardamom-outcome") == "not-run"
@@ -196,9 +197,11 @@
     world = context.world
     opened = records.BatchOpened("weekly", 1, ("vm0",), "", world.read[-1].offset, "c1")
     world.append(opened)
-    context.batch = next(one.offset for one in world.read if one.record == opened)
+    context.batch = next(
+        logged.offset for logged in world.read if logged.record == opened
+    )
     for name in ("e1", "e2"):
-        world.run_until(lambda name=name: said(world, records.BatchAcked, name))
+        world.run_until(lambda name=name: appended(world, records.BatchAcked, name))
 
 
 @when("e1 freezes for longer than the lease while the drain starts")
@@ -219,15 +222,15 @@
 
 
 @then("all of them are answered by vm1")
-def by_vm1(context):
+def answered_by_vm1(context):
     failed = [answers[0] for answers in context.answers if not answers[0]]
     failed += [item for item in context.answers if isinstance(item[0], Exception)]
     assert not failed, (failed, context.processes["e1"].poll())
-    places = [answers[0].header("endpoint") for answers in context.answers]
-    assert set(places) == {"vm1"}, [item[0] for item in context.answers]
+    vms = [answers[0].header("endpoint") for answers in context.answers]
+    assert set(vms) == {"vm1"}, [item[0] for item in context.answers]
 
 
-@when("200 requests that must run once go to e1 and e2 and e1 is killed")
+@when("200 requests that must not be repeated go to e1 and e2 and e1 is killed")
 def kill_under_load(context):
     world = context.world
     context.sent = {}
@@ -241,23 +244,23 @@
     world.run_until(lambda: all(answers for _, answers in context.sent.values()))
 
 
-@then("no request ran twice and what was told not-run did not run")
-def none_twice(context):
+@then("no request ran twice and none with the outcome not-run ran")
+def never_twice(context):
     world = context.world
     for number, (_, answers) in context.sent.items():
         ran = sum(item.counts.runs[str(number)] for item in world.endpoints.values())
         assert ran <= 1
         if isinstance(answers[0], HttpResponse):
-            told = answers[0].header("cardamom-outcome")
-            assert ran == (told == "") or told == "unknown", (ran, told)
+            outcome = answers[0].header("cardamom-outcome")
+            assert ran == (outcome == "") or outcome == "unknown", (ran, outcome)
 
 
 @then("every request to e2 has an answer")
 def all_at_e2(context):
-    given_back = [
+    answers_of_e2 = [
         answers[0] for entry, answers in context.sent.values() if entry == "e2"
     ]
-    assert all(isinstance(answer, HttpResponse) for answer in given_back)
+    assert all(isinstance(answer, HttpResponse) for answer in answers_of_e2)
 
 
 @when("the process {name} is replaced")
@@ -265,10 +268,10 @@
     spawn(context, name)
 
 
-@then("the new e1 answers requests as a later member")
+@then("the new e1 answers requests with a later incarnation")
 def later_member(context):
-    answers_now(context.world, "e1")
-    first, *_, last = joined(context.world, "e1")
+    wait_until_serving(context.world, "e1")
+    first, *_, last = incarnations(context.world, "e1")
     assert last > first
 
 
@@ -280,11 +283,11 @@
     context.processes["e2"].kill()
 
 
-@then("the new e2 answers requests and refuses keyed ones")
-def useful(context):
+@then("the new e2 answers requests and refuses those with an idempotency key")
+def serves_without_log(context):
     world = context.world
-    answers_now(world, "e2")
-    assert len(joined(world, "e2")) == 1
+    wait_until_serving(world, "e2")
+    assert len(incarnations(world, "e2")) == 1
     answer = world.ask("POST", "/notices", "e2", idempotency_key="k9")
     assert answer.header("cardamom-outcome") == "not-run"
 
@@ -297,9 +300,9 @@
 @then("the new e2 becomes a member and e1 delays acknowledgements")
 def member_again(context):
     world = context.world
-    world.run_until(lambda: len(joined(world, "e2")) == 2)
+    world.run_until(lambda: len(incarnations(world, "e2")) == 2)
     opened = records.BatchOpened("weekly", 1, ("vm0",), "", world.read[-1].offset, "c1")
     world.append(opened)
-    world.run_until(lambda: said(world, records.BatchAcked, "e2"))
-    assert not said(world, records.BatchAcked, "e1")
-    world.run_until(lambda: said(world, records.BatchAcked, "e1"))
+    world.run_until(lambda: appended(world, records.BatchAcked, "e2"))
+    assert not appended(world, records.BatchAcked, "e1")
+    world.run_until(lambda: appended(world, records.BatchAcked, "e1"))
--- a/tests/steps/entry_world.py
+++ b/tests/steps/entry_world.py
@@ -1,4 +1,4 @@
-"""A log, endpoints and entries on one loop, for the steps of the entry."""
+"""Fixture of the entry's steps: log, endpoints and entries on one loop."""
 
 import re
 
@@ -49,7 +49,7 @@
 
 
 class ScriptedEndpoint:
-    """Answers each whole request by ``script(conn, request id)``."""
+    """Calls ``script(conn, request_id)`` for each complete request."""
 
     def __init__(self, net, script):
         self.script = script
@@ -73,7 +73,7 @@
 
 
 class Client:
-    """A caller's connection to an entry, with the bytes that came back."""
+    """A caller's connection to an entry; ``data`` holds the bytes received."""
 
     def __init__(self, world, port):
         self.data = b""
@@ -98,7 +98,7 @@
 
 
 class World(Rig):
-    """Everything on one loop; ``seats`` names entries that share slots."""
+    """The log, endpoints and entries; the entries in ``seats`` are mesh peers."""
 
     def __init__(self, deadline_ms=1000, seats=()):
         super().__init__()
@@ -130,21 +130,23 @@
         return item
 
     def scripted(self, name, script):
-        """Add an endpoint that answers by a script; return it."""
+        """Add a ScriptedEndpoint; return it."""
         item = self.endpoints[name] = ScriptedEndpoint(self.net, script)
         self.ports[name] = item.port
         return item
 
     def append(self, *items):
-        """Append to the fleet stream and wait until it was read back."""
+        """Append records to the fleet stream and wait until they are read back."""
         for item in items:
             self.fleet.append(item)
         self.run_until(
-            lambda: all(any(one.record == item for one in self.read) for item in items)
+            lambda: all(
+                any(logged.record == item for logged in self.read) for item in items
+            )
         )
 
     def roll(self):
-        """Put a bundle with the endpoints so far in force."""
+        """Put a bundle with the endpoints added so far in force."""
         text = BUNDLE.format(deadline_ms=self.deadline_ms, connections=self.connections)
         for number, (name, port) in enumerate(self.ports.items()):
             text += VM.format(name=name, port=port, zone=f"z{number % 2}")
@@ -157,6 +159,7 @@
         )
 
     def settings(self, name):
+        """Return the EntrySettings of a seat; its listen address stays the same."""
         return EntrySettings(
             name=name,
             zone="z0",
@@ -171,7 +174,7 @@
         )
 
     def entry(self, name="e1", wait=True):
-        """Start an entry; wait until it is a member."""
+        """Start an entry; by default wait until it is a member and has a bundle."""
         cfg = self.settings(name)
         entry = self.entries[name] = Entry(self.loop, cfg, lambda: None)
         self.entry_ports[name] = entry.start()
@@ -181,7 +184,7 @@
         return entry
 
     def start_seats(self):
-        """Start an entry in each seat; wait until they share their slots."""
+        """Start an entry in each seat; wait until all may use their home slots."""
         for seat, _ in self.peers:
             self.entry(seat)
         self.run_until(
@@ -189,7 +192,10 @@
         )
 
     def send(self, method, path, entry="e1", body=b"", **headers):
-        """Send a request to an entry; its answer is appended to the list returned."""
+        """Send a request; return a list that the response or error is appended to.
+
+        Keywords are headers, with ``_`` for ``-``.
+        """
         pairs = [(b"host", b"entry")]
         for key, value in headers.items():
             pairs.append((key.replace("_", "-").encode(), str(value).encode()))
@@ -209,7 +215,7 @@
         conn.abort()
 
     def ask(self, method, path, entry="e1", body=b"", **headers):
-        """Return the answer to a request."""
+        """Send a request and return its response or error."""
         answers = self.send(method, path, entry, body, **headers)
         self.run_until(lambda: answers)
         return answers[0]
