--- a/src/cardamomgrade/link.py
+++ b/src/cardamomgrade/link.py
@@ -19,13 +19,13 @@
 HANDSHAKE_TIMEOUT_S = 2.0
 MESH_PATH = "/mesh"
 DIALLER, LISTENER = "dialler", "listener"
-_QUIET = logging.getLogger("cardamomgrade.websockets")
-_QUIET.setLevel(logging.CRITICAL)
+_SILENT_LOGGER = logging.getLogger("cardamomgrade.websockets")
+_SILENT_LOGGER.setLevel(logging.CRITICAL)
 
 
 @attrs.frozen
 class Identity:
-    """Who an entry is towards its peers; ``key`` is the shared key."""
+    """Name, incarnation and shared key that an entry authenticates with."""
 
     name: str
     incarnation: int
@@ -33,14 +33,15 @@
 
 
 class Link:
-    """A link that is up once both sides have proved that they hold the key.
+    """A link that is up once both sides have proved that they know the shared key.
 
-    ``on_up(link)`` is called then, ``on_message(link, message)`` for each message
-    after it, and ``on_down(link, reason)`` once at the end, unless this side closed.
+    ``on_up(link)`` is called when the link comes up, ``on_message(link, message)``
+    for each later message, and ``on_down(link, reason)`` once when the link fails or
+    the peer closes it, but not after ``close()``.
     """
 
     def __init__(self, loop, conn, identity, expected=None):
-        """Begin the handshake; ``expected`` is the name of a peer that was dialled."""
+        """Start the handshake; ``expected`` is the dialled peer's name, or None."""
         self.peer = expected or ""
         self.incarnation = 0
         self.up = False
@@ -51,7 +52,7 @@
         self.on_down = lambda link, reason: None
         self._conn = conn
         self._identity = identity
-        self._dialled = expected is not None
+        self._is_dialler = expected is not None
         self._nonce = new_nonce()
         self._hello = None
         conn.on_data = self._on_data
@@ -62,28 +63,30 @@
         self._protocol = self._open()
 
     def _open(self):
-        if not self._dialled:
-            return ServerProtocol(max_size=MESSAGE_LIMIT_BYTES, logger=_QUIET)
+        if not self._is_dialler:
+            return ServerProtocol(max_size=MESSAGE_LIMIT_BYTES, logger=_SILENT_LOGGER)
         uri = parse_uri(f"ws://{self.address}{MESH_PATH}")
-        protocol = ClientProtocol(uri, max_size=MESSAGE_LIMIT_BYTES, logger=_QUIET)
+        protocol = ClientProtocol(
+            uri, max_size=MESSAGE_LIMIT_BYTES, logger=_SILENT_LOGGER
+        )
         protocol.send_request(protocol.connect())
         self._flush(protocol)
         return protocol
 
     @property
     def closed(self):
-        """Whether the connection is gone."""
+        """Whether the connection is closed."""
         return self._conn.closed
 
     def send(self, message):
-        """Send a message; it may be lost when the link goes down."""
+        """Send a message; it is lost if the websocket is not open or the link fails."""
         if self._conn.closed or self._protocol.state is not State.OPEN:
             return
         self._protocol.send_binary(encode_message(message))
         self._flush(self._protocol)
 
     def close(self):
-        """Close after what was written has been sent."""
+        """Close the connection once all written data has been sent."""
         self._timer.cancel()
         self._conn.on_close = None
         self._conn.on_data = None
@@ -108,9 +111,11 @@
         try:
             self._protocol.receive_data(data)
             if self._protocol.handshake_exc is not None:
-                raise PeerError(f"no websocket: {self._protocol.handshake_exc}")
+                raise PeerError(
+                    f"websocket handshake failed: {self._protocol.handshake_exc}"
+                )
             for item in self._protocol.events_received():
-                self._on_event(item)
+                self._on_protocol_event(item)
         except (PeerError, WebSocketException) as exc:
             self._fail(str(exc))
             return
@@ -118,20 +123,20 @@
             return
         self._flush(self._protocol)
         if self._protocol.close_expected() or self._protocol.state is State.CLOSED:
-            self._fail("closed by the protocol")
+            self._fail("websocket closed")
 
-    def _on_event(self, item):
+    def _on_protocol_event(self, item):
         if isinstance(item, Request):
             self._protocol.send_response(self._protocol.accept(item))
-            self._say_hello()
+            self._send_hello()
         elif isinstance(item, Response):
-            self._say_hello()
+            self._send_hello()
         elif item.opcode is Opcode.BINARY:
             self._on_frame(decode_message(bytes(item.data)))
         elif item.opcode in (Opcode.TEXT, Opcode.CONT):
-            raise PeerError(f"frame {item.opcode.name} is not used")
+            raise PeerError(f"frame {item.opcode.name} is not allowed, only BINARY")
 
-    def _say_hello(self):
+    def _send_hello(self):
         if self._protocol.state is State.OPEN:
             me = self._identity
             self.send(Hello(me.name, me.incarnation, self._nonce))
@@ -144,29 +149,37 @@
         elif isinstance(message, Proof) and self._hello is not None:
             self._on_proof(message)
         else:
-            raise PeerError(f"{type(message).__name__} before authentication")
+            raise PeerError(
+                f"unexpected {type(message).__name__} before authentication"
+            )
 
     def _on_hello(self, hello):
-        if self._dialled and hello.name != self.peer:
-            raise PeerError(f"{hello.name!r} answers for {self.peer!r}")
+        if self._is_dialler and hello.name != self.peer:
+            raise PeerError(
+                f"dialled {self.peer!r} but the peer's name is {hello.name!r}"
+            )
         self._hello = hello
-        self.send(Proof(self._sign(DIALLER if self._dialled else LISTENER)))
+        self.send(Proof(self._sign(DIALLER if self._is_dialler else LISTENER)))
+
+    def _signed_parts(self, role):
+        """Return the texts that the side in ``role`` signs.
 
-    def _parts(self, role):
-        """Return what the side in ``role`` signs: its role, then both sides."""
+        They are the role and then name, incarnation and nonce of the dialler and of
+        the listener.
+        """
         me, peer = self._identity, self._hello
         mine = (me.name, str(me.incarnation), self._nonce)
         theirs = (peer.name, str(peer.incarnation), peer.nonce)
-        first, second = (mine, theirs) if self._dialled else (theirs, mine)
+        first, second = (mine, theirs) if self._is_dialler else (theirs, mine)
         return (role, *first, *second)
 
     def _sign(self, role):
-        return sign(self._identity.key, *self._parts(role))
+        return sign(self._identity.key, *self._signed_parts(role))
 
     def _on_proof(self, proof):
-        role = LISTENER if self._dialled else DIALLER
-        if not check(self._identity.key, proof.digest, *self._parts(role)):
-            raise PeerError("the peer does not hold the shared key")
+        role = LISTENER if self._is_dialler else DIALLER
+        if not check(self._identity.key, proof.digest, *self._signed_parts(role)):
+            raise PeerError("the peer's proof does not match the shared key")
         self._timer.cancel()
         self.peer = self._hello.name
         self.incarnation = self._hello.incarnation
--- a/src/cardamomgrade/mesh_events.py
+++ b/src/cardamomgrade/mesh_events.py
@@ -9,7 +9,7 @@
 
 @event(400)
 class PeerChanged:
-    """A peer's state by its heartbeats has changed."""
+    """The state of a peer, derived from its heartbeats, has changed."""
 
     peer: str
     incarnation: int
@@ -20,7 +20,7 @@
 
 @event(401, logging.WARNING)
 class LinkRefused:
-    """A connection of a peer was refused or failed before it was authenticated."""
+    """A link to a peer was refused or failed before it was in use."""
 
     peer: str
     address: str
@@ -29,7 +29,7 @@
 
 @event(402)
 class PeerReplaced:
-    """A seat has a newer incarnation; what was lent to the older is quarantined."""
+    """A seat has a newer incarnation; tokens lent to the older one are quarantined."""
 
     peer: str
     before: int
@@ -38,7 +38,7 @@
 
 @event(403, logging.ERROR)
 class SeatSuperseded:
-    """A peer knows a newer incarnation of this seat; it uses no slots any more."""
+    """A peer reports a newer incarnation of this seat; this one stops using slots."""
 
     peer: str
     incarnation: int
@@ -47,7 +47,7 @@
 
 @event(404)
 class RecordsPulled:
-    """Records that a peer handed on were taken in."""
+    """Log records fetched from a peer have been read."""
 
     peer: str
     stream: str
@@ -58,7 +58,7 @@
 
 @event(405, logging.WARNING)
 class RecordsNotKept:
-    """A peer no longer keeps the records that were asked for."""
+    """A peer no longer keeps the records that this entry requested."""
 
     peer: str
     stream: str
@@ -77,35 +77,35 @@
 
 @event(407)
 class SlotsUnlocked:
-    """The home tokens of this seat may be used."""
+    """The home tokens of this seat (its own share of the slots) may be used."""
 
     waited_ms: int
 
 
 @event(408, logging.WARNING)
 class SlotsHalted:
-    """No slots are used after a pause until a peer takes this entry as current."""
+    """After a pause, no slots are used until a peer confirms this incarnation."""
 
     limit_ms: int
 
 
 @event(409)
 class SlotsResumed:
-    """Slots are used again after a pause."""
+    """A peer has confirmed this incarnation after a pause; slots are used again."""
 
     halted_ms: int
 
 
 @event(410, logging.ERROR)
 class SeatStuck:
-    """No peer has taken this entry as current since a pause; it has to restart."""
+    """No peer has confirmed this incarnation since a pause; it has to restart."""
 
     incarnation: int
     halted_ms: int
 
 
-def note_change(change):
-    """Log what a membership.Change tells."""
+def log_change(change):
+    """Log the events that follow from a ``membership.Change``."""
     if 0 < change.old_incarnation < change.incarnation:
         note(PeerReplaced(change.peer, change.old_incarnation, change.incarnation))
     if change.before is not change.after:
--- a/src/cardamomgrade/mesh_hooks.py
+++ b/src/cardamomgrade/mesh_hooks.py
@@ -1,13 +1,15 @@
-"""What the mesh needs to know of its entry and tells it."""
+"""Interface between the mesh and its entry: status and callbacks."""
 
 import attrs
 
 
 @attrs.frozen
 class MeshStatus:
-    """Next offsets of this entry, and when it last had proof of the fleet's tail.
+    """What this entry has read of the log.
 
-    ``proof_s`` is a monotonic time or None.
+    ``offset`` and ``claims`` are the next offsets of the fleet and claims streams.
+    ``proof_s`` is the monotonic time of the latest proof that the fleet stream had
+    been read to its tail, or None.
     """
 
     offset: int
@@ -15,27 +17,31 @@
     proof_s: float | None
 
 
-def _nothing(*args):
+def _noop(*args):
     return None
 
 
 @attrs.frozen
 class MeshHooks:
-    """What the mesh asks of its entry.
-
-    ``status()`` returns a MeshStatus. ``on_raw(stream, raw)`` takes raw records
-    [offset, time in ms, bytes] handed on. ``on_fresh(sent_s)`` tells a time at which
-    all of the fleet stream had been read. ``append(stream, record)`` appends for a
-    peer. ``on_missing(stream, earliest)`` tells that a peer keeps no records before
-    ``earliest``. ``on_superseded(incarnation)`` tells that a new incarnation has the
-    seat or has to take it, as no peer has confirmed this one for some seconds.
-    ``on_tokens()`` tells that slots have become available.
+    """Callbacks from the mesh to its entry.
+
+    - ``status()`` returns a MeshStatus.
+    - ``on_raw(stream, raw)`` receives raw records ``[offset, time in ms, bytes]`` that
+      a peer relayed.
+    - ``on_fresh(sent_s)`` receives a monotonic time at which the whole fleet stream
+      had been read.
+    - ``append(stream, record)`` appends a record to the log on behalf of a peer.
+    - ``on_missing(stream, earliest)``: a peer no longer has the requested records,
+      only those from ``earliest`` on.
+    - ``on_superseded(incarnation)``: a newer incarnation holds the seat, or one has to
+      take it because no peer has confirmed this one since a pause.
+    - ``on_tokens()``: slots have become available.
     """
 
     status: object
-    on_raw: object = _nothing
-    on_fresh: object = _nothing
-    append: object = _nothing
-    on_missing: object = _nothing
-    on_superseded: object = _nothing
-    on_tokens: object = _nothing
+    on_raw: object = _noop
+    on_fresh: object = _noop
+    append: object = _noop
+    on_missing: object = _noop
+    on_superseded: object = _noop
+    on_tokens: object = _noop
--- a/src/cardamomgrade/peering.py
+++ b/src/cardamomgrade/peering.py
@@ -1,4 +1,4 @@
-"""What the newest heartbeats of one peer tell."""
+"""Session with one peer: its link and its latest heartbeat."""
 
 import attrs
 
@@ -9,28 +9,29 @@
 
 @attrs.define(eq=False)
 class PeerSession:
-    """A link that is up, with the newest heartbeat that it brought.
+    """An authenticated link and the latest heartbeat received on it.
 
-    ``answers_s`` is when the ping was sent that this heartbeat echoes, or None.
+    ``echoed_ping_s`` is the monotonic time at which this entry sent the ping that
+    ``last`` echoes, or None when that is not known.
     """
 
     link: Link
     pings: Pings = attrs.field(factory=Pings)
     last: Heartbeat | None = None
-    answers_s: float | None = None
+    echoed_ping_s: float | None = None
 
-    def take(self, heartbeat):
-        """Take a heartbeat of the peer."""
+    def update(self, heartbeat):
+        """Store a heartbeat of the peer as the latest one."""
         self.last = heartbeat
-        self.answers_s = self.pings.sent_s(heartbeat.echo)
+        self.echoed_ping_s = self.pings.sent_s(heartbeat.echo)
 
-    def says_outage(self, lease_ms, offset, since_s):
-        """Return whether the peer told that its lease on the log has lapsed.
+    def reports_outage(self, lease_ms, offset, since_s):
+        """Return whether the peer reports that its lease on the log has lapsed.
 
-        That counts when it answers a ping sent after ``since_s`` and the peer had
-        read nothing from ``offset`` on.
+        The report is valid only if the heartbeat echoes a ping sent at ``since_s`` or
+        later and the peer had read no record at or after ``offset``.
         """
-        if self.answers_s is None or self.answers_s < since_s:
+        if self.echoed_ping_s is None or self.echoed_ping_s < since_s:
             return False
         if self.last.offset > offset:
             return False
--- a/tests/steps/mesh.py
+++ b/tests/steps/mesh.py
@@ -1,4 +1,4 @@
-"""Steps for the mesh and link modules: several entries on one loop."""
+"""Steps for the mesh and link modules, with several entries on one event loop."""
 
 import time
 
@@ -8,7 +8,7 @@
 import harness
 from cardamomgrade.fleet import LEASE_MS, Member
 from cardamomgrade.link import Identity, Link
-from cardamomgrade.mesh import Mesh, WORD_LIFETIME_S
+from cardamomgrade.mesh import Mesh, PEER_REPORT_LIFETIME_S
 from cardamomgrade.mesh_hooks import MeshHooks, MeshStatus
 from cardamomgrade.messages import Query
 from cardamomgrade.net import parse_address
@@ -20,8 +20,8 @@
 
 
 @attrs.define(eq=False)
-class Peer:
-    """One entry as the mesh sees it."""
+class MeshPeer:
+    """An entry reduced to its mesh; records the mesh's callbacks."""
 
     mesh: Mesh = None
     offset: int = 0
@@ -34,7 +34,7 @@
     def status(self):
         return MeshStatus(self.offset, 0, self.proof_s)
 
-    def take(self, stream, raw):
+    def receive_records(self, stream, raw):
         for offset, _, _ in raw:
             if offset == self.offset:
                 self.offset += 1
@@ -42,7 +42,7 @@
 
 
 class World:
-    """Peers on one loop, all known to each other."""
+    """Peers on one event loop, each configured with the addresses of all."""
 
     def __init__(self, count, slots):
         self.rig = harness.Rig()
@@ -52,13 +52,13 @@
         self.peers = {}
         for name in self.names:
             self.start(name, 1)
-        self.rig.run_until(self.whole)
+        self.rig.run_until(self.all_connected)
 
     def start(self, name, incarnation, address=None):
-        peer = Peer()
+        peer = MeshPeer()
         hooks = MeshHooks(
             status=peer.status,
-            on_raw=peer.take,
+            on_raw=peer.receive_records,
             on_fresh=peer.fresh.append,
             append=lambda stream, record: peer.appended.append(record),
             on_missing=lambda stream, earliest: peer.missing.append(earliest),
@@ -71,12 +71,15 @@
         self.peers[name] = peer
         return peer
 
-    def whole(self):
+    def all_connected(self):
         found = [len(peer.mesh.alive()) for peer in self.peers.values()]
         return found == [len(self.names) - 1] * len(self.names)
 
     def dial(self, name, identity, expected, tamper=lambda link: None):
-        """Return a link to a peer and the list of reasons why it went down."""
+        """Return a link to a peer and a list that gets the reason when it fails.
+
+        ``tamper(link)`` changes the link before its handshake.
+        """
         reasons, links = [], []
 
         def opened(conn):
@@ -97,7 +100,7 @@
 
 
 @when("the mesh entry e0 lacks 8 slots")
-def step_lack(context):
+def step_want(context):
     world = context.mesh_world
     world.rig.run_until(lambda: all(p.mesh.ledger.unlocked for p in peers(world)))
     world.peers["e0"].mesh.ledger.want(("x",), 8)
@@ -118,7 +121,7 @@
     context.mesh_world.rig.run_until(full)
 
 
-@then("a peer with another key is refused")
+@then("a peer with a different key is refused")
 def step_other_key(context):
     identity = Identity("e0", 9, "another key")
     _, reasons = context.mesh_world.dial("e1", identity, "e1")
@@ -127,14 +130,14 @@
 
 
 @then("a peer that is not in the settings is refused")
-def step_foreign(context):
+def step_unknown_peer(context):
     _, reasons = context.mesh_world.dial("e1", Identity("e9", 9, KEY), "e1")
     context.mesh_world.rig.run_until(lambda: reasons)
     assert context.mesh_world.peers["e1"].mesh.alive() == ["e0"]
 
 
 def raw_conn(world, name):
-    """Return a connection to a peer and a list that is filled when it is closed."""
+    """Return a connection to a peer and a list that gets an item at its close."""
     closed, conns = [], []
 
     def opened(conn):
@@ -148,7 +151,7 @@
     return conns[0], closed
 
 
-@then("bytes that are no websocket are refused")
+@then("bytes that are not a websocket handshake are refused")
 def step_no_websocket(context):
     conn, closed = raw_conn(context.mesh_world, "e1")
     conn.write(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -156,7 +159,7 @@
 
 
 @then("a message before authentication is refused")
-def step_early(context):
+def step_message_before_auth(context):
     def tamper(link):
         link._on_hello = lambda hello: link.send(Query())
 
@@ -165,15 +168,15 @@
     context.mesh_world.rig.run_until(lambda: reasons)
 
 
-@then("a peer that is silent in the handshake is dropped")
+@then("a peer that sends nothing during the handshake is dropped")
 def step_silent(context):
     conn, closed = raw_conn(context.mesh_world, "e1")
     context.mesh_world.rig.run_until(lambda: closed)
-    assert context.mesh_world.whole()
+    assert context.mesh_world.all_connected()
 
 
 @when("a newer incarnation of mesh entry e0 starts beside the old one")
-def step_beside(context):
+def step_start_successor(context):
     world = context.mesh_world
     world.rig.run_until(lambda: all(p.mesh.ledger.unlocked for p in peers(world)))
     context.old_peer = world.peers["e0"]
@@ -188,10 +191,10 @@
     assert old.mesh.ledger.available("x") == 0
 
 
-@then("the peers know the newer incarnation only")
+@then("the peers have links to the newer incarnation only")
 def step_newer(context):
     world = context.mesh_world
-    world.rig.run_until(world.whole)
+    world.rig.run_until(world.all_connected)
     world.rig.run_for(1.5)
     for name in ("e1", "e2"):
         links = world.peers[name].mesh.links()
@@ -202,7 +205,7 @@
 def step_read(context, name, count):
     peer = context.mesh_world.peers[name]
     raw = [[offset, offset, b"record %d" % offset] for offset in range(count)]
-    peer.take(STREAM_FLEET, raw)
+    peer.receive_records(STREAM_FLEET, raw)
     peer.proof_s = context.mesh_world.rig.loop.now() - PROOF_AGE_S
     context.proof_s = peer.proof_s
 
@@ -220,7 +223,7 @@
     context.mesh_world.rig.run_until(lambda: peer.offset == count)
 
 
-@then("mesh entry e0 is as fresh as e2 was and no fresher")
+@then("mesh entry e0 has a proof as recent as that of e2 and none more recent")
 def step_fresh(context):
     world, peer = context.mesh_world, context.mesh_world.peers["e0"]
     world.rig.run_until(lambda: peer.fresh)
@@ -229,7 +232,7 @@
     assert max(peer.fresh) > context.proof_s - 2.5
 
 
-@then("mesh entry e0 is told that records before {offset:d} are not kept")
+@then("mesh entry e0 is notified that records before {offset:d} are not kept")
 def step_not_kept(context, offset):
     peer = context.mesh_world.peers["e0"]
     context.mesh_world.rig.run_until(lambda: peer.missing == [offset])
@@ -255,7 +258,7 @@
 def step_relay_other(context):
     world = context.mesh_world
     world.peers["e0"].mesh.relay(STREAM_FLEET, BatchAcked("e1", 1, 5))
-    world.rig.run_until(lambda: not world.whole())
+    world.rig.run_until(lambda: not world.all_connected())
     assert len(world.peers["e1"].appended) == 1
 
 
@@ -264,41 +267,41 @@
     world = context.mesh_world
     world.rig.run_until(lambda: all(p.mesh.ledger.unlocked for p in peers(world)))
     world.rig.run_for(0.5)
-    before = totals(world)
+    before = bytes_sent(world)
     world.rig.run_for(3.0)
-    for link, count in totals(world).items():
+    for link, count in bytes_sent(world).items():
         assert count - before[link] <= 3 * 60 + 60, count - before[link]
 
 
-def totals(world):
+def bytes_sent(world):
     links = [link for peer in peers(world) for link in peer.mesh.links()]
     return {link: link.bytes_out for link in links}
 
 
-def knows_outage(world):
+def accepts_outage_report(world):
     member = Member("e1", 1, "z0", "", 0)
     return world.peers["e0"].mesh.outage_known({"e1": member}, LEASE_MS)
 
 
-@then("mesh entry e0 knows of an outage from the member e1")
+@then("mesh entry e0 accepts the outage report of member e1")
 def step_outage(context):
     world = context.mesh_world
-    world.rig.run_until(lambda: knows_outage(world))
+    world.rig.run_until(lambda: accepts_outage_report(world))
 
 
-@then("it knows of none right after it was paused, but soon again")
+@then("it accepts none right after it was paused, but does again soon")
 def step_paused(context):
-    time.sleep(WORD_LIFETIME_S + 0.1)
-    assert not knows_outage(context.mesh_world)
-    context.mesh_world.rig.run_until(lambda: knows_outage(context.mesh_world))
+    time.sleep(PEER_REPORT_LIFETIME_S + 0.1)
+    assert not accepts_outage_report(context.mesh_world)
+    context.mesh_world.rig.run_until(lambda: accepts_outage_report(context.mesh_world))
 
 
-@then("it knows of none while e1 has read records that it lacks")
-def step_lacks(context):
+@then("it accepts none while e1 has read records that it lacks")
+def step_missing_records(context):
     world = context.mesh_world
     world.peers["e1"].offset = 5
-    world.rig.run_until(lambda: not knows_outage(world))
+    world.rig.run_until(lambda: not accepts_outage_report(world))
     world.rig.run_for(1.5)
-    assert not knows_outage(world)
+    assert not accepts_outage_report(world)
     world.peers["e0"].offset = 5
-    world.rig.run_until(lambda: knows_outage(world))
+    world.rig.run_until(lambda: accepts_outage_report(world))
