--- a/src/cardamomgrade/exposition.py
+++ b/src/cardamomgrade/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics of one process as the text that scrapers of time series read."""
+"""Metrics of one process in the Prometheus text format."""
 
 from .metrics import US_PER_S
 
@@ -7,11 +7,11 @@
 
 
 def to_text(recorded, gauges):
-    """Return ``recorded`` Metrics and ``gauges`` (numbers by name) as bytes.
+    """Return the Prometheus text of ``recorded`` Metrics and ``gauges`` as bytes.
 
-    Timings are summaries in seconds.
+    ``gauges`` maps names to numbers. Timings are written as summaries in seconds.
     """
-    # loaded at the first scrape: processes that nobody scrapes do without it
+    # Imported on the first scrape: processes that are never scraped do not load it.
     from prometheus_client.core import (
         CounterMetricFamily,
         GaugeMetricFamily,
@@ -29,13 +29,13 @@
         family.add_metric([text for _, text in labels], value)
     metrics = list(families.values())
     for name, timing in sorted(recorded.view().timings.items()):
-        full = f"{PREFIX}{name}_seconds"
-        summary = Metric(full, name, "summary")
+        metric_name = f"{PREFIX}{name}_seconds"
+        summary = Metric(metric_name, name, "summary")
         for quantile, field in QUANTILES:
             value = getattr(timing, field) / US_PER_S
-            summary.add_sample(full, {"quantile": quantile}, value)
-        summary.add_sample(f"{full}_count", {}, timing.count)
-        summary.add_sample(f"{full}_sum", {}, timing.sum_us / US_PER_S)
+            summary.add_sample(metric_name, {"quantile": quantile}, value)
+        summary.add_sample(f"{metric_name}_count", {}, timing.count)
+        summary.add_sample(f"{metric_name}_sum", {}, timing.sum_us / US_PER_S)
         metrics.append(summary)
     for name, value in sorted(gauges.items()):
         metrics.append(GaugeMetricFamily(PREFIX + name, name, value=value))
@@ -43,7 +43,7 @@
 
 
 class _Collected:
-    """What the library calls a registry: an object with ``collect``."""
+    """A fixed list of metrics with the ``collect`` method of a Prometheus registry."""
 
     def __init__(self, metrics):
         self._metrics = metrics
--- a/src/cardamomgrade/journal.py
+++ b/src/cardamomgrade/journal.py
@@ -1,6 +1,6 @@
-"""Numbered events as JSON lines on standard error.
+"""Structured logging: numbered events as JSON lines on standard error.
 
-An event is an attrs class made with ``event(number)``; docs/EVENTS.md lists them.
+An event is a class decorated with ``event(number)``; docs/EVENTS.md lists them.
 """
 
 import json
@@ -10,8 +10,8 @@
 import attrs
 from pythonjsonlogger.json import JsonFormatter
 
-LOG_BUFFER_BYTES = 256 * 1024  # some thousand lines, against a reader that pauses
-DROPPED_EVENT = "LinesDropped"
+LOG_BUFFER_BYTES = 256 * 1024  # some thousand lines, for a reader that pauses
+LINES_DROPPED_EVENT = "LinesDropped"
 EVENTS = {}
 _LOGGER = logging.getLogger("cardamomgrade")
 _LOGGER.addHandler(logging.NullHandler())
@@ -19,12 +19,15 @@
 
 
 def event(number, level=logging.INFO):
-    """Return a class decorator that registers an event under its number."""
+    """Return a decorator that makes a class frozen and registers it as an event.
+
+    It raises ValueError if the number is already in use.
+    """
 
     def register(cls):
         cls = attrs.frozen(cls)
         if number in EVENTS:
-            raise ValueError(f"event {number} is defined twice")
+            raise ValueError(f"event number {number} is already in use")
         cls.NUMBER = number
         cls.LEVEL = level
         EVENTS[number] = cls
@@ -34,10 +37,10 @@
 
 
 class BoundedStream:
-    """Writes lines to a file descriptor and never waits for its reader.
+    """Text stream to a file descriptor whose writes never block.
 
-    Lines that the reader does not take are kept up to ``limit`` bytes; beyond it they
-    are dropped, and a line tells how many once there is room again.
+    Lines that the reader has not read yet are buffered up to ``limit`` bytes. Further
+    lines are dropped; their number is logged once there is room again.
     """
 
     def __init__(self, fd, limit=LOG_BUFFER_BYTES):
@@ -48,33 +51,33 @@
         self.dropped = 0
 
     def write(self, text):
-        """Take a line; drop it when the buffer is full."""
+        """Buffer a line, or drop it if the buffer is full."""
         data = text.encode()
         if len(self._buffer) + len(data) > self._limit:
             self.dropped += 1
             return
         if self.dropped:
             lines, self.dropped = self.dropped, 0
-            fields = {"event": 0, "event_name": DROPPED_EVENT, "lines": lines}
+            fields = {"event": 0, "event_name": LINES_DROPPED_EVENT, "lines": lines}
             self._buffer += json.dumps(fields).encode() + b"\n"
         self._buffer += data
 
     def flush(self):
-        """Write what the reader takes now."""
+        """Write as much of the buffer as is possible without blocking."""
         while self._buffer:
             try:
                 sent = os.write(self._fd, self._buffer)
             except BlockingIOError:
                 return
             except OSError:
-                # the reader is gone; there is nobody to tell
+                # The reader has closed the pipe, so the error cannot be logged either.
                 self._buffer.clear()
                 return
             del self._buffer[:sent]
 
 
 def start_journal(program, name, stream=None):
-    """Send events to ``stream`` (standard error) with program and node name."""
+    """Log events to ``stream`` (default: standard error) with program and node name."""
     handler = logging.StreamHandler(stream)
     handler.setFormatter(
         JsonFormatter(
@@ -89,12 +92,12 @@
 
 
 def stop_journal():
-    """Send events nowhere again."""
+    """Discard events from now on."""
     _LOGGER.handlers[:] = [logging.NullHandler()]
 
 
 def note(item):
-    """Log an event."""
+    """Log an event with its attributes as fields."""
     if not _LOGGER.isEnabledFor(item.LEVEL):
         return
     fields = attrs.asdict(item, recurse=False)
--- a/src/cardamomgrade/messages.py
+++ b/src/cardamomgrade/messages.py
@@ -1,7 +1,7 @@
 """Typed messages between entries and their CBOR encoding.
 
-Wire form: a CBOR array ``[version, kind, fields]`` where ``fields`` is the array of
-the class's attributes in order.
+A message is encoded as a CBOR array ``[version, kind, fields]``: ``kind`` is the
+number given to its class below and ``fields`` the array of its attributes in order.
 """
 
 import attrs
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class TokenCount:
-    """A number of slot tokens of one endpoint."""
+    """A number of slot tokens of one endpoint; each permits the use of one slot."""
 
     endpoint: str = attrs.field(validator=attrs.validators.instance_of(str))
     count: int = attrs.field(validator=attrs.validators.instance_of(int))
@@ -26,15 +26,15 @@
 
 @attrs.frozen
 class RawRecord:
-    """A log record as bytes with its offset and log time in milliseconds."""
+    """An encoded log record with its offset and its log time in milliseconds."""
 
     offset: int = attrs.field(validator=attrs.validators.instance_of(int))
     time_ms: int = attrs.field(validator=attrs.validators.instance_of(int))
     data: bytes = attrs.field(validator=attrs.validators.instance_of(bytes))
 
 
-def _items(cls):
-    """Return a converter from wire arrays to a tuple of ``cls`` instances."""
+def _tuple_of(cls):
+    """Return a converter of decoded arrays to a tuple of ``cls`` instances."""
 
     def convert(value):
         return tuple(item if isinstance(item, cls) else cls(*item) for item in value)
@@ -42,144 +42,144 @@
     return convert
 
 
-def _each_str(instance, attribute, value):
+def _check_all_str(instance, attribute, value):
     if not all(isinstance(item, str) for item in value):
-        raise TypeError(f"{attribute.name} is not text")
+        raise TypeError(f"{attribute.name}: every item must be a string")
 
 
-def _of(kind):
+def _typed(kind):
     return attrs.field(validator=attrs.validators.instance_of(kind))
 
 
-def _counts():
-    return attrs.field(converter=_items(TokenCount), default=())
+def _token_counts():
+    return attrs.field(converter=_tuple_of(TokenCount), default=())
 
 
 @_message(1)
 class Hello:
-    """First message of a link: who speaks and a nonce for the peer to sign."""
+    """First message on a link: the sender's identity and a nonce to be signed."""
 
-    name: str = _of(str)
-    incarnation: int = _of(int)
-    nonce: str = _of(str)
+    name: str = _typed(str)
+    incarnation: int = _typed(int)
+    nonce: str = _typed(str)
 
 
 @_message(2)
 class Proof:
-    """HMAC over the sender's role and both names, incarnations and nonces."""
+    """HMAC over the sender's role and both sides' names, incarnations and nonces."""
 
-    digest: str = _of(str)
+    digest: str = _typed(str)
 
 
 @_message(3)
 class Heartbeat:
-    """What the sender has read of the log, sent every second.
+    """What the sender has read of the log; sent every second.
 
-    ``sequence`` numbers the sender's heartbeats and ``echo`` is the newest sequence
-    that it received from the peer. ``offset`` is the next fleet offset, ``claims``
-    the next claims offset. ``age_ms`` is how old the sender's proof is that it had
-    read the whole fleet stream, or -1 without one. A halted sender may have been
-    replaced without knowing it. An urgent one is answered at once.
+    ``sequence`` numbers the sender's heartbeats; ``echo`` is the sequence of the
+    latest one received from the peer, or 0. ``offset`` and ``claims`` are the sender's
+    next offsets of the fleet and claims streams. ``age_ms`` is the age of its proof of
+    having read the whole fleet stream, or -1 without a proof. A ``halted`` sender may
+    have been replaced without knowing it. An ``urgent`` heartbeat is answered at once.
     """
 
-    sequence: int = _of(int)
-    echo: int = _of(int)
-    offset: int = _of(int)
-    claims: int = _of(int)
-    age_ms: int = _of(int)
-    halted: bool = _of(bool)
-    urgent: bool = _of(bool)
+    sequence: int = _typed(int)
+    echo: int = _typed(int)
+    offset: int = _typed(int)
+    claims: int = _typed(int)
+    age_ms: int = _typed(int)
+    halted: bool = _typed(bool)
+    urgent: bool = _typed(bool)
 
 
 @_message(4)
 class Superseded:
-    """The receiver's seat has a newer incarnation."""
+    """A newer incarnation of the receiver's seat exists."""
 
-    incarnation: int = _of(int)
+    incarnation: int = _typed(int)
 
 
 @_message(10)
 class Ask:
-    """The sender lacks ``count`` tokens on any of the endpoints.
+    """Requests ``count`` tokens of any of the endpoints.
 
-    A locked sender cannot use its home tokens yet. A higher sequence replaces what
-    was asked before for the same endpoints.
+    A ``locked`` sender cannot use its home tokens yet. A message with a higher
+    sequence replaces earlier ones for the same endpoints.
     """
 
-    sequence: int = _of(int)
-    endpoints: tuple = attrs.field(converter=tuple, validator=_each_str)
-    count: int = _of(int)
-    locked: bool = _of(bool)
+    sequence: int = _typed(int)
+    endpoints: tuple = attrs.field(converter=tuple, validator=_check_all_str)
+    count: int = _typed(int)
+    locked: bool = _typed(bool)
 
 
 @_message(11)
 class Tokens:
-    """Totals since the pair of incarnations met.
+    """Running totals of transfers since the two incarnations connected.
 
     ``lent`` counts the sender's home tokens lent to the receiver, ``returned`` the
     receiver's home tokens that the sender has returned.
     """
 
-    lent: tuple = _counts()
-    returned: tuple = _counts()
+    lent: tuple = _token_counts()
+    returned: tuple = _token_counts()
 
 
 @_message(12)
 class TokensAck:
-    """The totals of a ``Tokens`` message that the sender has taken in."""
+    """Acknowledges the totals of a ``Tokens`` message that the sender has applied."""
 
-    lent: tuple = _counts()
-    returned: tuple = _counts()
+    lent: tuple = _token_counts()
+    returned: tuple = _token_counts()
 
 
 @_message(13)
 class Query:
-    """Asks how many of the sender's home tokens the receiver holds."""
+    """Requests a ``Report`` of the sender's home tokens that the receiver holds."""
 
 
 @_message(14)
 class Report:
-    """The sender's holding of the receiver's home tokens when they met.
+    """The receiver's home tokens that the sender held when the two connected.
 
-    ``age_ms`` is the time since the sender's start. ``known_before`` tells whether
-    the sender had met an earlier incarnation of the receiver's seat.
+    ``age_ms`` is the time since the sender's start. ``known_before`` is whether the
+    sender had been connected to an earlier incarnation of the receiver's seat.
     """
 
-    age_ms: int = _of(int)
-    known_before: bool = _of(bool)
-    held: tuple = _counts()
+    age_ms: int = _typed(int)
+    known_before: bool = _typed(bool)
+    held: tuple = _token_counts()
 
 
 @_message(19)
 class RecordsWanted:
-    """Asks for the records of a stream from an offset on."""
+    """Requests the records of a stream from ``offset`` on."""
 
-    stream: str = _of(str)
-    offset: int = _of(int)
+    stream: str = _typed(str)
+    offset: int = _typed(int)
 
 
 @_message(20)
 class Records:
-    """Raw records of a stream in offset order, handed on."""
+    """Answer to ``RecordsWanted``: raw records of the stream in offset order."""
 
-    stream: str = _of(str)
-    records: tuple = attrs.field(converter=_items(RawRecord))
+    stream: str = _typed(str)
+    records: tuple = attrs.field(converter=_tuple_of(RawRecord))
 
 
 @_message(21)
 class RecordsMissing:
-    """The peer's next offset is older than ``earliest`` that the sender keeps."""
+    """Answer to ``RecordsWanted``: the sender keeps none before ``earliest``."""
 
-    stream: str = _of(str)
-    earliest: int = _of(int)
+    stream: str = _typed(str)
+    earliest: int = _typed(int)
 
 
 @_message(22)
 class AppendRelay:
-    """Asks the receiver to append an encoded record for the sender."""
+    """Requests that the receiver append an encoded record on behalf of the sender."""
 
-    stream: str = _of(str)
-    record: bytes = _of(bytes)
+    stream: str = _typed(str)
+    record: bytes = _typed(bytes)
 
 
 def _flatten(value):
@@ -199,14 +199,16 @@
 
 
 def decode_message(data):
-    """Return the message that ``data`` encodes; raise PeerError when it is none."""
+    """Return the message that ``data`` encodes; raise PeerError if it is invalid."""
     try:
         version, kind, fields = cbor2.loads(data)
         if version != MESSAGE_VERSION:
-            raise PeerError(f"message version {version} is not known")
+            raise PeerError(
+                f"message version {version} is not supported, only {MESSAGE_VERSION}"
+            )
         cls = _CLASSES[kind]
         if len(fields) != len(attrs.fields(cls)):
             raise PeerError(f"{cls.__name__}: wrong number of fields")
         return cls(*fields)
     except (cbor2.CBORError, KeyError, TypeError, ValueError, OverflowError) as exc:
-        raise PeerError(f"not a message: {exc!r}") from exc
+        raise PeerError(f"invalid message: {exc!r}") from exc
--- a/src/cardamomgrade/metrics.py
+++ b/src/cardamomgrade/metrics.py
@@ -1,4 +1,4 @@
-"""Counters and timings of one process; timings are HDR histograms."""
+"""Counters and timings of one process; timings are kept as HDR histograms."""
 
 import attrs
 from hdrh.histogram import HdrHistogram
@@ -11,7 +11,7 @@
 
 @attrs.frozen
 class TimingView:
-    """Percentiles of one timing in microseconds."""
+    """Count, percentiles and sum of one timing, in microseconds."""
 
     count: int
     p50_us: int
@@ -23,7 +23,7 @@
 
 @attrs.frozen
 class MetricsView:
-    """Counters and timings by name."""
+    """Counter totals and TimingViews by name."""
 
     counters: dict
     timings: dict
@@ -41,14 +41,14 @@
 
 
 class Metrics:
-    """Counters and timings, created at their first use."""
+    """Registry of counters and timings, which are created on first use."""
 
     def __init__(self):
         self._counters = {}
         self._timings = {}
 
     def count(self, name, amount=1, **labels):
-        """Add ``amount`` to the counter of a name and these labels."""
+        """Add ``amount`` to the counter with this name and these labels."""
         key = (name, tuple(sorted(labels.items())))
         self._counters[key] = self._counters.get(key, 0) + amount
 
@@ -62,12 +62,12 @@
         histogram.record_value(value)
 
     def counters(self):
-        """Return the counters by (name, (label, value) pairs)."""
+        """Return a dict {(name, ((label, value), ...)): count}."""
         return dict(self._counters)
 
     def view(self):
-        """Return a MetricsView of what was recorded so far."""
-        timings = {name: _timing_view(item) for name, item in self._timings.items()}
+        """Return a MetricsView of current values; counters are summed over labels."""
+        timings = {name: _timing_view(hist) for name, hist in self._timings.items()}
         totals = {}
         for (name, _), value in self._counters.items():
             totals[name] = totals.get(name, 0) + value
--- a/src/cardamomgrade/scrape.py
+++ b/src/cardamomgrade/scrape.py
@@ -1,4 +1,4 @@
-"""Serves a process's metrics to scrapers, without credentials."""
+"""HTTP server for the metrics of a process; it requires no authentication."""
 
 from .exposition import to_text
 from .net import parse_address
@@ -10,10 +10,10 @@
 
 
 class ScrapeServer:
-    """Answers GET of one path; ``gauges()`` returns numbers by name as of now."""
+    """Serves GET requests for one path; ``gauges()`` returns current values by name."""
 
-    def __init__(self, loop, net, recorded, gauges):
-        self._recorded = recorded
+    def __init__(self, loop, net, metrics, gauges):
+        self._metrics = metrics
         self._gauges = gauges
         self._path = ""
         self._server = HttpServer(loop, net, self._on_request, LIMITS)
@@ -24,12 +24,12 @@
         return self._server.listen(*parse_address(address))
 
     def close(self):
-        """Drop the scrapers' connections."""
+        """Close all connections of scrapers."""
         self._server.drop_others(None)
 
     def _on_request(self, exchange):
         if exchange.req.method != "GET" or exchange.req.path != self._path:
             exchange.respond(plain_response(404, "no such page"))
             return
-        body = to_text(self._recorded, self._gauges())
+        body = to_text(self._metrics, self._gauges())
         exchange.respond(HttpResponse(200, (CONTENT_TYPE,), body))
--- a/tests/journal.feature
+++ b/tests/journal.feature
@@ -1,7 +1,7 @@
-Feature: catalogue of events, settings and modules
+Feature: structured log and generated reference pages
 
-  Scenario Outline: the page agrees with the code
-    Then the page <page> is what the catalogue writes
+  Scenario Outline: a generated page matches the code
+    Then the page <page> is what scripts/catalogue.py generates
 
     Examples:
       | page        |
@@ -9,12 +9,12 @@
       | SETTINGS.md |
       | MODULES.md  |
 
-  Scenario: a line carries the number, the name and the fields of its event
-    Then a noted event is one JSON line with its number, name and fields
+  Scenario: a log line has the number, the name and the fields of its event
+    Then a logged event is one JSON line with its number, name and fields
 
-  Scenario: a reader that stopped holds up nothing, and what was lost is counted
-    Given a pipe whose reader has stopped
+  Scenario: a reader that stopped does not block the writer, and dropped lines are counted
+    Given a pipe whose reader does not read
     When 5000 lines of 200 bytes are written to it
-    Then the writer did not wait and kept at most its bound
-    When the reader goes on
-    Then whole lines arrive, and one of them tells how many were dropped
+    Then the writer did not block and buffers at most its limit
+    When the reader reads again
+    Then complete lines arrive, and one of them has the number of dropped lines
--- a/tests/steps/journal.py
+++ b/tests/steps/journal.py
@@ -1,4 +1,4 @@
-"""Steps for the journal module and the catalogue of events and settings."""
+"""Steps for the journal module and the reference pages generated from the code."""
 
 import contextlib
 import io
@@ -16,7 +16,7 @@
 PIPE_LIMIT_BYTES = 10_000
 
 
-@then("the page {page} is what the catalogue writes")
+@then("the page {page} is what scripts/catalogue.py generates")
 def step_page(context, page):
     sys.path.insert(0, str(ROOT / "scripts"))
     import catalogue
@@ -25,7 +25,7 @@
     assert (ROOT / "docs" / page).read_text() == written, "run scripts/catalogue.py"
 
 
-@then("a noted event is one JSON line with its number, name and fields")
+@then("a logged event is one JSON line with its number, name and fields")
 def step_line(context):
     stream = io.StringIO()
     journal.start_journal("entry", "e1", stream)
@@ -37,7 +37,7 @@
     assert (found["incarnation"], found["node"]) == (7, "e1")
 
 
-@given("a pipe whose reader has stopped")
+@given("a pipe whose reader does not read")
 def step_pipe(context):
     context.reader, context.writer = os.pipe()
     context.stream = BoundedStream(context.writer, PIPE_LIMIT_BYTES)
@@ -51,13 +51,13 @@
     context.written = lines
 
 
-@then("the writer did not wait and kept at most its bound")
+@then("the writer did not block and buffers at most its limit")
 def step_bound(context):
     assert len(context.stream._buffer) <= PIPE_LIMIT_BYTES
     assert context.stream.dropped > 0
 
 
-@when("the reader goes on")
+@when("the reader reads again")
 def step_reads(context):
     os.set_blocking(context.reader, False)
     context.data = b""
@@ -68,7 +68,7 @@
             context.data += os.read(context.reader, 65536)
 
 
-@then("whole lines arrive, and one of them tells how many were dropped")
+@then("complete lines arrive, and one of them has the number of dropped lines")
 def step_counted(context):
     lines = [json.loads(line) for line in context.data.splitlines()]
     dropped = [item["lines"] for item in lines if "lines" in item]
