--- a/src/cardamomgrade/command.py
+++ b/src/cardamomgrade/command.py
@@ -1,4 +1,4 @@
-"""The command line that the daemons share."""
+"""Command line shared by the daemons."""
 
 import sys
 
@@ -11,7 +11,7 @@
 
 
 def settings_command(cls, run, help_text):
-    """Return a click command that loads settings and calls ``run(cfg)``."""
+    """Return a click command that loads settings of ``cls`` and calls ``run(cfg)``."""
 
     @click.command(help=help_text)
     @click.argument("path", type=click.Path(dir_okay=False))
--- a/src/cardamomgrade/console.py
+++ b/src/cardamomgrade/console.py
@@ -1,4 +1,4 @@
-"""What the commands of operators share: output, exit codes and errors."""
+"""Output, exit codes and error handling shared by the operators' commands."""
 
 import json
 import sys
@@ -24,13 +24,13 @@
 
 
 def fail(status, text):
-    """Print an error and exit."""
+    """Print ``text`` to standard error and exit with code ``status``."""
     click.echo(text, err=True)
     sys.exit(status)
 
 
-def _guarded(function):
-    """Turn the package's errors into exit codes."""
+def _exit_on_error(function):
+    """Wrap a command so that the package's errors end it with their exit codes."""
 
     @wraps(function)
     def call(*args, **kwargs):
@@ -45,10 +45,15 @@
 
 
 def command(group, title, example):
-    """Return a decorator that adds a command with ``--json`` and an example."""
+    """Return a decorator that adds a command to a click group.
+
+    The command gets the option ``--json`` and an example at the end of its help.
+    """
 
     def decorate(function):
-        added = group.command(title, epilog=f"Example: {example}")(_guarded(function))
+        added = group.command(title, epilog=f"Example: {example}")(
+            _exit_on_error(function)
+        )
         option = click.Option(["--json", "as_json"], is_flag=True, help="Print JSON.")
         added.params.append(option)
         return added
--- a/src/cardamomgrade/ctl.py
+++ b/src/cardamomgrade/ctl.py
@@ -1,4 +1,4 @@
-"""Program ``cardamomctl``: publishes, signs off, rolls and explains.
+"""Program ``cardamomctl``: publishes, signs off and rolls bundles, shows the fleet.
 
 Exit codes: 0 done, 1 refused, 2 bad input, 3 log unavailable, 4 outcome unknown.
 """
@@ -47,7 +47,7 @@
 
 @attrs.frozen
 class Access:
-    """Where the log is and who asks."""
+    """Address of the log and name of the operator."""
 
     log: str
     operator: str
@@ -55,7 +55,7 @@
 
 @attrs.frozen
 class CheckedBundle:
-    """A bundle file that is valid."""
+    """Summary of a valid bundle file."""
 
     path: str
     version: int
@@ -68,7 +68,7 @@
 
 @attrs.frozen
 class Accepted:
-    """A record that the fold took."""
+    """A record that was appended and accepted at ``offset``."""
 
     record: str
     digest: str
@@ -77,7 +77,7 @@
 
 @attrs.frozen
 class NodePage:
-    """A page of one node; ``error`` tells why there is none."""
+    """A view of one node; ``error`` is the reason if it could not be read."""
 
     address: str
     page: object = None
@@ -86,7 +86,7 @@
 
 @attrs.frozen
 class Refused:
-    """An operation that was refused, with the reason."""
+    """The refusal of a record."""
 
     refused: Refusal
 
@@ -96,8 +96,8 @@
     return console.command(group, title, EPILOGS[key or title])
 
 
-def _log(access):
-    """Return a LogSession that has caught up."""
+def _open_log(access):
+    """Return a LogSession that has read the log to its tail."""
     if not access.log:
         fail(EXIT_BAD_INPUT, "the log's address is missing: --log or CARDAMOM_LOG")
     session = LogSession(access.log)
@@ -105,9 +105,12 @@
     return session
 
 
-def _operator(access):
+def _operator_name(access):
     if not access.operator:
-        fail(EXIT_BAD_INPUT, "who asks? --operator or CARDAMOM_OPERATOR")
+        fail(
+            EXIT_BAD_INPUT,
+            "the operator's name is missing: --operator or CARDAMOM_OPERATOR",
+        )
     return access.operator
 
 
@@ -119,8 +122,8 @@
     return parse_bundle(text, path)
 
 
-def _finish(record, verdict, as_json):
-    """Print the verdict on a record and exit with its code."""
+def _print_outcome(record, verdict, as_json):
+    """Print the outcome of a submitted record; exit with its code unless accepted."""
     kind = type(record).__name__
     if isinstance(verdict, Refusal):
         unknown = verdict.reason is Reason.UNKNOWN
@@ -133,8 +136,8 @@
     show(Accepted(kind, record.digest.hex(), verdict.logged.offset), as_json)
 
 
-def _in_force(state):
-    """Return a sentence on the bundle in force, for whoever lost to it."""
+def _bundle_in_force(state):
+    """Describe the bundle in force, for the message about a refused digest."""
     view = bundle_view(state)
     if view is None:
         return "no bundle is in force"
@@ -144,8 +147,12 @@
     )
 
 
-def _resolve(state, prefix):
-    """Return the digest of the one proposal that a prefix names."""
+def _find_digest(state, prefix):
+    """Return the digest that starts with the hexadecimal ``prefix``.
+
+    The candidates are the proposals and the bundle in force. The program exits if
+    none or several match or the prefix is too short.
+    """
     prefix = prefix.lower()
     digests = list(state.proposals)
     if state.bundle is not None:
@@ -154,7 +161,7 @@
     if len(prefix) < DIGEST_MIN_CHARS or len(found) > 1:
         fail(EXIT_BAD_INPUT, f"{prefix}: more digits of the digest are needed")
     if not found:
-        fail(EXIT_REFUSED, f"{prefix}: no such proposal; {_in_force(state)}")
+        fail(EXIT_REFUSED, f"{prefix}: no such proposal; {_bundle_in_force(state)}")
     return found[0]
 
 
@@ -203,7 +210,7 @@
 def diff(access, path, as_json):
     """Show what a bundle file would change in the bundle in force."""
     item = _read_bundle(path)
-    state = _log(access).state
+    state = _open_log(access).state
     difference = diff_sections(_sections(state), item.sections)
     if as_json:
         show(difference, as_json)
@@ -220,12 +227,12 @@
 @click.pass_obj
 def publish(access, path, as_json):
     """Propose a bundle as its difference from the bundle in force."""
-    operator, item = _operator(access), _read_bundle(path)
+    operator, item = _operator_name(access), _read_bundle(path)
     if item.author != operator:
         fail(EXIT_REFUSED, f"the bundle's author is {item.author}, not {operator}")
-    session = _log(access)
+    session = _open_log(access)
     record = _proposal(session.state, item)
-    _finish(record, session.submit(record), as_json)
+    _print_outcome(record, session.submit(record), as_json)
 
 
 def _proposal(state, item):
@@ -246,9 +253,9 @@
 @click.pass_obj
 def sign_off(access, digest, as_json):
     """Sign off a proposed bundle that somebody else wrote."""
-    operator, session = _operator(access), _log(access)
-    record = BundleSigned(_resolve(session.state, digest), operator)
-    _finish(record, session.submit(record), as_json)
+    operator, session = _operator_name(access), _open_log(access)
+    record = BundleSigned(_find_digest(session.state, digest), operator)
+    _print_outcome(record, session.submit(record), as_json)
 
 
 @_command(bundle, "roll")
@@ -256,9 +263,9 @@
 @click.pass_obj
 def roll(access, digest, as_json):
     """Put a signed-off bundle in force everywhere."""
-    operator, session = _operator(access), _log(access)
-    record = BundleRolled(_resolve(session.state, digest), operator)
-    _finish(record, session.submit(record), as_json)
+    operator, session = _operator_name(access), _open_log(access)
+    record = BundleRolled(_find_digest(session.state, digest), operator)
+    _print_outcome(record, session.submit(record), as_json)
 
 
 def _ops_options(function):
@@ -269,7 +276,7 @@
     return ops(key(function))
 
 
-def _pages(addresses, key, target):
+def _fetch_views(addresses, key, target):
     if not key:
         fail(EXIT_BAD_INPUT, "the shared key is missing: --key or CARDAMOM_KEY")
     return [
@@ -282,7 +289,7 @@
 
 @attrs.frozen
 class NodesView:
-    """What the log tells, and the pages of the nodes that were asked."""
+    """A view computed from the log, and the views of the nodes given by ``--ops``."""
 
     log: object
     nodes: list
@@ -290,7 +297,7 @@
 
 def _show_with_nodes(value, ops, key, as_json):
     if ops:
-        value = NodesView(value, _pages(ops, key, "/status"))
+        value = NodesView(value, _fetch_views(ops, key, "/status"))
     show(value, as_json)
 
 
@@ -299,7 +306,7 @@
 @click.pass_obj
 def bundle_status(access, ops, key, as_json):
     """Show the bundle in force and the proposals; with --ops, nodes' too."""
-    _show_with_nodes(bundles_view(_log(access).state), ops, key, as_json)
+    _show_with_nodes(bundles_view(_open_log(access).state), ops, key, as_json)
 
 
 @_command(fleet, "status", "fleet status")
@@ -307,7 +314,7 @@
 @click.pass_obj
 def fleet_status(access, ops, key, as_json):
     """Show the members, VMs and open batches; with --ops, nodes' views too."""
-    _show_with_nodes(fleet_view(_log(access).state), ops, key, as_json)
+    _show_with_nodes(fleet_view(_open_log(access).state), ops, key, as_json)
 
 
 @_command(wave, "status", "wave status")
@@ -315,7 +322,7 @@
 @click.pass_obj
 def wave_status(access, ops, key, as_json):
     """Show each wave's progress; with --ops of a control, why it waits."""
-    _show_with_nodes(wave_views(_log(access).state), ops, key, as_json)
+    _show_with_nodes(wave_views(_open_log(access).state), ops, key, as_json)
 
 
 @_command(main, "explain")
@@ -323,14 +330,14 @@
 @_ops_options
 @click.pass_obj
 def explain(access, subject, ops, key, as_json):
-    """Tell the story of a VM from the log, or of a request from the entries."""
+    """Show the history of a VM from the log, or of a request from the entries."""
     if ops:
-        pages = _pages(ops, key, f"/explain?id={subject}")
+        pages = _fetch_views(ops, key, f"/explain?id={subject}")
         show([page for page in pages if not page.error] or pages, as_json)
         if all(page.error for page in pages):
             sys.exit(EXIT_REFUSED)
         return
-    session = _log(access)
+    session = _open_log(access)
     result = explain_vm(session.state, session.history, subject)
     if isinstance(result, Refusal):
         fail(EXIT_REFUSED, f"{result}; for a request, name the entries with --ops")
--- a/src/cardamomgrade/explain.py
+++ b/src/cardamomgrade/explain.py
@@ -1,4 +1,4 @@
-"""What a folded state tells operators: status views and the story of one VM."""
+"""Views of a folded state for operators: status, and the history of one VM."""
 
 import attrs
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class Trace:
-    """A record that touched a subject; ``outcome`` is a refusal's text or applied."""
+    """A record about a subject; ``outcome`` is "applied" or the text of a refusal."""
 
     offset: int
     time_ms: int
@@ -20,7 +20,11 @@
 
 @attrs.frozen
 class BatchView:
-    """An open batch; ``unacked`` and ``unconfirmed`` name the entries awaited."""
+    """An open batch of VMs.
+
+    ``acked`` and ``confirmed`` name the entries that have acknowledged the batch and
+    confirmed its drain, ``unacked`` and ``unconfirmed`` the other members.
+    """
 
     offset: int
     wave: str
@@ -36,7 +40,7 @@
 
 @attrs.frozen
 class VmExplanation:
-    """Where a VM stands and the last records that touched it."""
+    """State of a VM and the last records about it."""
 
     vm: str
     pool: str
@@ -49,7 +53,7 @@
 
 @attrs.frozen
 class BundleView:
-    """The bundle in force and since which offset."""
+    """The bundle in force; it took effect at ``offset`` and ``time_ms`` of the log."""
 
     version: int
     digest: str
@@ -72,7 +76,7 @@
 
 @attrs.frozen
 class BundlesView:
-    """The bundle in force and the proposals that may follow it."""
+    """The bundle in force and the open proposals for the next one."""
 
     in_force: BundleView | None
     proposals: tuple
@@ -80,7 +84,7 @@
 
 @attrs.frozen
 class WaveView:
-    """A wave of the bundle in force: VMs done of its round, and open batches."""
+    """Progress of a wave: VMs in total and done in its round, and open batches."""
 
     wave: str
     round: int
@@ -91,7 +95,7 @@
 
 @attrs.frozen
 class FleetView:
-    """A folded state in brief; ``phases`` counts VMs by phase."""
+    """Summary of a folded state; ``phases`` maps a phase to its number of VMs."""
 
     offset: int
     time_ms: int
@@ -104,7 +108,7 @@
 
 @attrs.frozen
 class ControlView:
-    """A control's own standing besides the fleet's."""
+    """A control's connection to the log, and its views of the fleet and the waves."""
 
     control: str
     fresh: bool
@@ -115,7 +119,7 @@
 
 
 class History:
-    """The last records that touched each subject, in offset order."""
+    """The last ``limit`` records about each subject, in offset order."""
 
     def __init__(self, limit=HISTORY_RECORDS):
         self._limit = limit
@@ -123,7 +127,7 @@
         self._batch_vms = {}
 
     def add(self, step):
-        """Take a Step of a Replica."""
+        """Add the record of a Step of a Replica."""
         logged, record = step.logged, step.logged.record
         outcome = "applied" if step.refusal is None else str(step.refusal)
         kind = type(record).__name__
@@ -148,7 +152,7 @@
         return (subject_of(record),)
 
     def of(self, subject):
-        """Return the Traces of a subject as a tuple."""
+        """Return a tuple of the Traces of a subject."""
         return tuple(self._traces.get(subject, ()))
 
 
@@ -170,7 +174,7 @@
 
 
 def explain_vm(state, history, vm):
-    """Return a VmExplanation, or a Refusal when no such VM is known."""
+    """Return a VmExplanation, or a Refusal if the VM is not in the bundle in force."""
     item = state.vms.get(vm)
     if item is None:
         return Refusal(Reason.UNKNOWN, f"no VM {vm!r} in the bundle in force")
@@ -224,7 +228,7 @@
 
 
 def wave_views(state):
-    """Return a WaveView for each wave of the bundle in force."""
+    """Return a tuple with a WaveView of each wave of the bundle in force."""
     waves = state.bundle.waves if state.bundle else {}
     return tuple(_wave_view(state, waves[name]) for name in sorted(waves))
 
@@ -241,7 +245,7 @@
 
 
 def control_status(name, follower, waves):
-    """Return the ControlView of a control that follows the log."""
+    """Return a ControlView of the control ``name`` and its Follower."""
     return ControlView(
         name,
         follower.fresh(),
--- a/src/cardamomgrade/ops.py
+++ b/src/cardamomgrade/ops.py
@@ -1,8 +1,8 @@
-"""Operators' HTTP: JSON views of a process for holders of the shared key.
+"""HTTP server and client for operators: JSON views, protected by the shared key.
 
-A request without valid credentials is answered 401 with a nonce in the header
-``WWW-Authenticate: Cardamom NONCE``; the peer repeats it with ``Authorization:
-Cardamom NONCE:HMAC``, the HMAC covering nonce, method and target.
+A request without valid credentials gets a 401 response with a nonce in the header
+``WWW-Authenticate: Cardamom NONCE``. The client repeats the request with
+``Authorization: Cardamom NONCE:HMAC``; the HMAC covers nonce, method and target.
 """
 
 import json
@@ -31,7 +31,7 @@
 
 @event(250)
 class OpsRefused:
-    """An operators' request was refused for want of valid credentials."""
+    """An operator's request was refused because its credentials were not valid."""
 
     peer: str
     path: str
@@ -39,31 +39,31 @@
 
 @event(251)
 class OpsListening:
-    """The operators' address is open."""
+    """The server is listening on the operators' address."""
 
     address: str
 
 
 @attrs.frozen
 class Query:
-    """The options of a request's query, as (name, value) pairs."""
+    """The query parameters of a request as (name, value) pairs."""
 
     pairs: tuple = ()
 
     def get(self, name, default=""):
-        """Return the first value of an option."""
+        """Return the first value of a parameter, or ``default``."""
         return next((value for key, value in self.pairs if key == name), default)
 
 
 @attrs.frozen
 class Health:
-    """That the process answers at all."""
+    """View of ``/health``; a process that answers is healthy."""
 
     status: str = "ok"
 
 
 def to_json(value):
-    """Return plain data for JSON from attrs classes, enums, bytes and containers."""
+    """Convert attrs instances, enums, bytes and containers to plain data for JSON."""
     if isinstance(value, Refusal):
         return {"reason": value.reason.value, "detail": value.detail}
     if attrs.has(type(value)):
@@ -85,10 +85,11 @@
 
 
 class OpsServer:
-    """Serves views on the operators' address.
+    """HTTP server for JSON views on the operators' address.
 
-    ``views`` maps a path to a function of a Query that returns an attrs instance, a
-    dict, or a Refusal, which is answered 400, 404 or 503 by its reason.
+    ``views`` maps a path to a function that is given a Query and returns an attrs
+    instance, a dict or a Refusal. A Refusal gives status 400, 404 or 503, depending
+    on its reason.
     """
 
     def __init__(self, loop, address, key, views, net=None):
@@ -108,7 +109,7 @@
         header = req.header("authorization")
         now = self._loop.now()
         if self._nonces.admits(self._key, header, req.method, req.target, now):
-            exchange.respond(self._answer(req))
+            exchange.respond(self._response(req))
             return
         if header:
             note(OpsRefused(exchange.peer[0], req.path))
@@ -117,7 +118,7 @@
         headers = ((b"www-authenticate", challenge),)
         exchange.respond(json_response(401, refusal, headers))
 
-    def _answer(self, req):
+    def _response(self, req):
         view = self._views.get(req.path)
         if view is None:
             return json_response(404, Refusal(Reason.UNKNOWN, "no such page"))
@@ -135,7 +136,7 @@
 
 
 class OpsClient:
-    """Asks one operators' address for its pages."""
+    """HTTP client for the views of one operators' address."""
 
     def __init__(self, loop, net, address, key):
         self._requester = Requester(loop, net, address)
@@ -143,9 +144,10 @@
         self._key = key
 
     def get(self, target, on_done, timeout):
-        """Call ``on_done`` with an HttpResponse, a Failure or a PeerError.
+        """Request a view; call ``on_done`` with an HttpResponse, Failure or PeerError.
 
-        ``timeout`` in seconds holds for each of the two requests.
+        ``timeout`` in seconds applies to each of the two requests, the one that gets
+        the nonce and the authenticated one.
         """
 
         def challenged(result):
@@ -154,7 +156,7 @@
                 return
             scheme, _, nonce = result.header("www-authenticate").partition(" ")
             if scheme != SCHEME:
-                on_done(PeerError("no nonce in the challenge"))
+                on_done(PeerError(f"no {SCHEME} nonce in the WWW-Authenticate header"))
                 return
             value = authorization(self._key, nonce, "GET", target)
             self._send(target, on_done, timeout, (b"authorization", value.encode()))
--- a/tests/ops.feature
+++ b/tests/ops.feature
@@ -1,18 +1,18 @@
 Feature: ops
 
-  Scenario: only the holder of the key passes, and once a nonce
-    Then generated credentials pass only for their own key, request and nonce
+  Scenario: credentials need the right key and a nonce that is valid once
+    Then generated credentials are accepted only for their own key, request and nonce
 
-  Scenario: a nonce does not outlive its time or its place among the newest
-    Then old and displaced nonces are refused
+  Scenario: a nonce expires after its lifetime, or when newer ones exceed the limit
+    Then expired and discarded nonces are refused
 
-  Scenario: metrics tell counts and percentiles
-    Then generated timings lie within the bounds that the metrics view tells
+  Scenario: metrics report counts and percentiles
+    Then generated timings lie within the bounds that the metrics view reports
 
-  Scenario Outline: an operators' page is shown for the shared key
+  Scenario Outline: a request to the operators' address gets the status of its key and path
     Given an operators' server
-    When a client with the key "<key>" asks for "<target>"
-    Then the operators' answer is <status> with "<text>"
+    When a client with the key "<key>" requests "<target>"
+    Then the operators' server responds with <status> and "<text>"
 
     Examples:
       | key                     | target           | status | text            |
--- a/tests/steps/ctl.py
+++ b/tests/steps/ctl.py
@@ -32,23 +32,23 @@
     wait_for(lambda: listening(context.log_address))
 
 
-def _faults(context, **values):
+def _set_faults(context, **values):
     return json.loads(http(context.log_address, "/faults", values)[2])
 
 
-@when("the log loses the next answers")
-def step_lose(context):
-    _faults(context, lose_answers=2)
+@when("the log loses its next answers")
+def step_lose_answers(context):
+    _set_faults(context, lose_answers=2)
 
 
 @then("the log holds {count:d} records")
 def step_holds(context, count):
-    assert _faults(context)["appends"] == count
+    assert _set_faults(context)["appends"] == count
 
 
-@when("the log is out")
-def step_out(context):
-    _faults(context, log="down")
+@when("the log is down")
+def step_log_down(context):
+    _set_faults(context, log="down")
     quick = mock.patch.object(session, "CATCH_UP_S", 0.5)
     quick.start()
     context.add_cleanup(quick.stop)
@@ -96,7 +96,7 @@
     return parse_bundle(path.read_text()).digest.hex()
 
 
-def _release(context, path, author):
+def _publish_and_sign(context, path, author):
     for args, operator in (
         (["publish", str(path)], author),
         (["sign-off", _digest(path)], "boris"),
@@ -107,12 +107,12 @@
 
 @given("the bundle of anna is rolled by boris")
 def step_first_roll(context):
-    _release(context, context.bundle_path, "anna")
+    _publish_and_sign(context, context.bundle_path, "anna")
     result = _run(context, ["bundle", "roll", _digest(context.bundle_path)], "boris")
     assert result.exit_code == 0, result.output
 
 
-@when("the bundle of anna and that of clara follow it at once")
+@when("anna and clara each publish a next bundle")
 def step_rivals(context):
     context.rivals = {}
     for author, round_ in (("anna", 2), ("clara", 3)):
@@ -120,7 +120,7 @@
         text = bundle_text(round_=round_, version=2)
         path.write_text(text.replace("author = anna", f"author = {author}"))
         context.rivals[author] = path
-        _release(context, path, author)
+        _publish_and_sign(context, path, author)
 
 
 @then('rolling {author}\'s bundle exits {code:d} saying "{text}"')
@@ -138,7 +138,7 @@
             yield (*path, name), command
 
 
-@then('every command\'s help holds an example and "--json"')
+@then('every command\'s help has an example and "--json"')
 def step_help(context):
     commands = dict(_commands(ctl.main))
     assert len(commands) == 14, list(commands)
--- a/tests/steps/ops.py
+++ b/tests/steps/ops.py
@@ -1,4 +1,4 @@
-"""Steps for the operators' HTTP, its authentication and metrics."""
+"""Steps for the operators' HTTP server, its authentication and metrics."""
 
 from behave import given as given_step, then, when
 from hypothesis import given, settings, strategies as st
@@ -18,7 +18,7 @@
 )
 
 
-@then("generated credentials pass only for their own key, request and nonce")
+@then("generated credentials are accepted only for their own key, request and nonce")
 def step_credentials(context):
     @FIXED
     @given(CASES, CASES)
@@ -35,7 +35,7 @@
     check()
 
 
-@then("old and displaced nonces are refused")
+@then("expired and discarded nonces are refused")
 def step_old_nonces(context):
     book = NonceBook(limit=2, lifetime_s=5.0)
     displaced, old, late = (book.issue(float(now)) for now in (0, 1, 3))
@@ -44,7 +44,7 @@
     assert book.use(late, 7.9)
 
 
-@then("generated timings lie within the bounds that the metrics view tells")
+@then("generated timings lie within the bounds that the metrics view reports")
 def step_timings(context):
     @FIXED
     @given(st.lists(st.floats(0, 4000), min_size=1, max_size=30))
@@ -75,13 +75,13 @@
     context.address = f"127.0.0.1:{server.port}"
 
 
-@when('a client with the key "{key}" asks for "{target}"')
+@when('a client with the key "{key}" requests "{target}"')
 def step_ask(context, key, target):
     client = OpsClient(context.loop, context.net, context.address, key)
     context.answer = ask(context.loop, lambda done: client.get(target, done, 5.0))
 
 
-@then('the operators\' answer is {status:d} with "{text}"')
+@then('the operators\' server responds with {status:d} and "{text}"')
 def step_answer(context, status, text):
     assert context.answer.status == status, context.answer
     assert text in context.answer.body.decode(), context.answer.body
