--- a/src/cardamomgrade/__init__.py
+++ b/src/cardamomgrade/__init__.py
@@ -1,6 +1,7 @@
-"""Fleet capacity and maintenance manager for a fixed estate of VMs.
+"""Fleet capacity and maintenance manager for a fixed set of VMs.
 
-The names here are for programs that read bundles and fold the log themselves.
+The names exported here are for programs that read bundles, or that fold the log (apply
+its records in order to a state) themselves.
 """
 
 from .bundle import Bundle, diff_sections, parse_bundle
--- a/tests/mesh_process.feature
+++ b/tests/mesh_process.feature
@@ -1,22 +1,22 @@
-Feature: entries that lack the log or were paused
+Feature: entries without access to the log or paused
 
-  Scenario: an entry cut from the log takes part through its peer
-    Given entry e2 with the log and entry e1 cut from it
+  Scenario: an entry without access to the log works through its peer
+    Given entry e2 with access to the log and entry e1 without
     Then entry e1 is a member and answers requests
-    And entry e1 stays fresh while 20 records come past it
-    When a second bundle is rolled past entry e1
+    And entry e1 stays fresh while 20 records are appended
+    When a second bundle is rolled while entry e1 has no access to the log
     Then entry e1 has the second bundle in force
     When e1 and e2 have acknowledged a batch with vm0
-    And the drain of the batch starts past entry e1
+    And the drain of the batch starts while entry e1 has no access to the log
     Then entry e1 sends to the other endpoint only
     And entry e1 has confirmed the drain
 
-  Scenario: entries that were all paused at once go on
+  Scenario: entries that were all paused at the same time resume
     Given the entries e1 and e2 as processes and 2 endpoints
     When both entries are paused for 4 seconds
-    Then both entries answer requests again under their incarnations
+    Then both entries answer requests again with unchanged incarnations
 
-  Scenario: a paused entry whose only peer was replaced meanwhile starts anew
+  Scenario: a paused entry whose only peer was replaced meanwhile exits to be restarted
     Given the entries e1 and e2 as processes and 2 endpoints
     When e1 is paused while e2 is killed and replaced
-    Then e1 ends by itself in order
+    Then e1 exits by itself with status 0
--- a/tests/steps/mesh_process.py
+++ b/tests/steps/mesh_process.py
@@ -1,4 +1,4 @@
-"""Steps for entries that lack the log or were paused."""
+"""Steps for entries that have no access to the log or were paused."""
 
 import signal
 import time
@@ -14,8 +14,8 @@
 from harness import free_port
 
 
-@given("entry e2 with the log and entry e1 cut from it")
-def cut_world(context):
+@given("entry e2 with access to the log and entry e1 without")
+def isolated_entry(context):
     world = context.world = World(seats=("e1", "e2"))
     for number in range(2):
         world.endpoint(f"vm{number}")
@@ -27,14 +27,14 @@
 
 
 @then("entry e1 is a member and answers requests")
-def cut_member(context):
+def isolated_member(context):
     world = context.world
     world.run_until(world.entries["e1"].member.is_member)
-    answers(world, "e1")
+    answering_endpoint(world, "e1")
 
 
-def answers(world, entry):
-    """Send until a request is answered; return the endpoint that ran it."""
+def answering_endpoint(world, entry):
+    """Send requests until one is answered; return the endpoint that served it."""
     for _ in range(200):
         answer = world.ask("GET", "/notices", entry)
         if isinstance(answer, HttpResponse) and answer.status == 200:
@@ -50,7 +50,7 @@
     return records.Section(section.name, tuple(options))
 
 
-@then("entry e1 stays fresh while 20 records come past it")
+@then("entry e1 stays fresh while 20 records are appended")
 def stays_fresh(context):
     world, follower = context.world, context.world.entries["e1"].member.follower
     world.run_until(follower.fresh)
@@ -61,7 +61,7 @@
             assert follower.fresh()
 
 
-@when("a second bundle is rolled past entry e1")
+@when("a second bundle is rolled while entry e1 has no access to the log")
 def second_bundle(context):
     world = context.world
     old = world.entries["e2"].member.state.bundle
@@ -86,37 +86,37 @@
     print(f"in force after {time.monotonic() - context.rolled_s:.2f} s")
 
 
-@when("the drain of the batch starts past entry e1")
-def drained(context):
+@when("the drain of the batch starts while entry e1 has no access to the log")
+def drain_starts(context):
     world = context.world
     world.append(records.DrainStarted(context.batch, "c1"))
     member = world.entries["e1"].member
     world.run_until(lambda: member.state.batches[context.batch].draining)
 
 
-def said(world, cls, name):
+def records_of(world, cls, name):
     return [
-        one
-        for one in world.read
-        if isinstance(one.record, cls) and one.record.entry == name
+        logged
+        for logged in world.read
+        if isinstance(logged.record, cls) and logged.record.entry == name
     ]
 
 
 @then("entry e1 sends to the other endpoint only")
-def spares(context):
-    assert {answers(context.world, "e1") for _ in range(10)} == {"vm1"}
+def only_other_endpoint(context):
+    assert {answering_endpoint(context.world, "e1") for _ in range(10)} == {"vm1"}
 
 
 @then("entry e1 has confirmed the drain")
 def confirmed(context):
     world = context.world
-    world.run_until(lambda: said(world, records.DrainConfirmed, "e1"))
+    world.run_until(lambda: records_of(world, records.DrainConfirmed, "e1"))
 
 
 @when("both entries are paused for 4 seconds")
 def pause_both(context):
     world = context.world
-    context.joined = len(said(world, records.MemberJoined, "e1"))
+    context.joined = len(records_of(world, records.MemberJoined, "e1"))
     for process in context.processes.values():
         process.send_signal(signal.SIGSTOP)
     world.run_for(4)
@@ -124,12 +124,12 @@
         process.send_signal(signal.SIGCONT)
 
 
-@then("both entries answer requests again under their incarnations")
+@then("both entries answer requests again with unchanged incarnations")
 def both_again(context):
     world = context.world
     for name in ("e1", "e2"):
-        answers(world, name)
-    assert len(said(world, records.MemberJoined, "e1")) == context.joined
+        answering_endpoint(world, name)
+    assert len(records_of(world, records.MemberJoined, "e1")) == context.joined
 
 
 @when("e1 is paused while e2 is killed and replaced")
@@ -144,8 +144,8 @@
     first.send_signal(signal.SIGCONT)
 
 
-@then("e1 ends by itself in order")
-def ends_itself(context):
+@then("e1 exits by itself with status 0")
+def exits_by_itself(context):
     process = context.processes["e1"]
     context.world.run_until(lambda: process.poll() is not None, 40)
     assert process.returncode == 0
