--- a/specs/__init__.py
+++ b/specs/__init__.py
@@ -1,1 +1,1 @@
-"""Small specifications of the core protocols, searched by z3."""
+"""Models of the core protocols, checked with z3."""
--- a/specs/bundles.py
+++ b/specs/bundles.py
@@ -1,22 +1,44 @@
-"""Bundles in force at two nodes: the log, its retention, snapshots, hand-on.
+"""Model of the bundles (configurations) in force at two nodes that read one log.
 
-A bundle is known by the offset of its roll. A node folds what it reads up to the
-tail, up to a peer, or from a snapshot. A replaced node starts with nothing and the
-log may be out of reach of any node for any time.
+A bundle comes into force by a record of the log, its roll, and is identified by the
+offset of that record. Each node computes the bundle in force by folding records: from
+the log up to its tail, forwarded by its peer, or after a restored snapshot. Proved:
+the bundle in force never reverts at a node, nodes at the tail agree on the newest
+roll, no editor overwrites a roll that it has not seen, and what a node serves never
+reverts, even across its replacement.
+
+Assumptions:
+
+- The log drops its oldest records at any time.
+- Only the newest snapshot is kept.
+- A node may be replaced at any time; the new one starts without any state.
+- Any node may be unable to reach the log for any time.
 """
 
 import attrs
 from attrs import evolve
 from z3 import And, If, Not, Or
 
-from .checker import Action, blank, flag, level, Model, put
+from .checker import Action, bool_field, int_field, make_state, Model, set_item
 
 NODES = range(2)
 
 
 @attrs.frozen
 class Rules:
-    """The rules of the protocol; a mutation drops one."""
+    """The rules of the protocol; each mutation test switches one off.
+
+    roll_names_parent: a roll is refused unless it names the bundle in force as its
+        parent, the bundle that was edited.
+    snapshot_not_older: a node restores no snapshot older than its fold.
+    snapshot_continues: a node restores a snapshot only if the log still has all the
+        records after it.
+    snapshot_whole: a snapshot holds the bundle in force, rather than the one of the
+        snapshot before.
+    records_without_gap: a node takes records of its peer only if they begin no later
+        than the next one that it needs.
+    serve_after_tail: a new node serves only after it has read up to the tail.
+    """
 
     roll_names_parent: bool = True
     snapshot_not_older: bool = True
@@ -28,49 +50,53 @@
 
 @attrs.frozen
 class State:
-    """The log and its newest snapshot, then per node its fold and what it served.
-
-    ``rolled`` is the offset of the last accepted roll. A fold is through the offset
-    ``through`` with the bundle ``force``; ``kept`` is the first record that a node
-    can hand on.
+    """The log and its newest snapshot, then for each node its fold and what it served.
+
+    ``tail`` and ``earliest`` are the last and the first offset of the log. ``rolled``
+    is the offset of the last accepted roll, ``parent`` the bundle that an editor has
+    edited. ``snapshot`` is the offset of the newest snapshot, ``snapshot_bundle`` its
+    bundle and ``previous_bundle`` that of the snapshot before. The fold of a node has
+    reached the offset ``through`` and has ``bundle`` in force. ``first_kept`` is the
+    offset of the first record that the node can forward. ``violated`` is set by a
+    transition that breaks the safety property.
     """
 
-    tail = level(None)
-    earliest = level(None)
-    rolled = level(None)
-    taken = level(None)
-    snapshot = level(None)
-    snapshot_force = level(None)
-    last_force = level(None)
-    through = level(None, 2)
-    force = level(None, 2)
-    kept = level(None, 2)
-    ready = flag(2)
-    served = level(None, 2)
-    wrong = flag()
+    tail = int_field(None)
+    earliest = int_field(None)
+    rolled = int_field(None)
+    parent = int_field(None)
+    snapshot = int_field(None)
+    snapshot_bundle = int_field(None)
+    previous_bundle = int_field(None)
+    through = int_field(None, 2)
+    bundle = int_field(None, 2)
+    first_kept = int_field(None, 2)
+    ready = bool_field(2)
+    served = int_field(None, 2)
+    violated = bool_field()
 
 
 def bundles(rules=None):
-    """Return the model of the bundles under the rules."""
+    """Return the model of the bundles under ``rules``, by default all of them."""
     rules = rules or Rules()
     return Model(
-        blank(State, earliest=1, kept=(1, 1)),
+        make_state(State, earliest=1, first_kept=(1, 1)),
         lambda s: (
             _log_actions(rules, s)
             + [action for n in NODES for action in _node_actions(rules, s, n)]
         ),
-        lambda s: Not(s.wrong),
+        lambda s: Not(s.violated),
     )
 
 
 def _log_actions(rules, s):
     appended = evolve(s, tail=s.tail + 1)
-    valid = s.taken == s.rolled if rules.roll_names_parent else True
-    overwrites = Or(s.wrong, s.taken != s.rolled)
-    rolled = evolve(appended, rolled=s.tail + 1, wrong=overwrites)
+    valid = s.parent == s.rolled if rules.roll_names_parent else True
+    overwrites = Or(s.violated, s.parent != s.rolled)
+    rolled = evolve(appended, rolled=s.tail + 1, violated=overwrites)
     return [
         Action("append", True, appended),
-        Action("edit the bundle in force", True, evolve(s, taken=s.rolled)),
+        Action("edit the bundle in force", True, evolve(s, parent=s.rolled)),
         Action("BundleRolled by an editor", valid, rolled),
         Action("BundleRolled by another", True, evolve(appended, rolled=s.tail + 1)),
         Action(
@@ -81,15 +107,18 @@
     ]
 
 
-def _move(s, n, through, force, **changes):
-    """Return the state after node ``n`` moved on, checked against what it had."""
-    lower = force < s.force[n]
-    missed = And(through == s.tail, force != s.rolled)
+def _advance(s, n, through, bundle, **changes):
+    """Return the state after node ``n`` has folded up to the offset ``through``.
+
+    The run is unsafe if the bundle reverts, or differs at the tail from the last roll.
+    """
+    reverted = bundle < s.bundle[n]
+    differs = And(through == s.tail, bundle != s.rolled)
     return evolve(
         s,
-        through=put(s.through, n, through),
-        force=put(s.force, n, force),
-        wrong=Or(s.wrong, lower, missed),
+        through=set_item(s.through, n, through),
+        bundle=set_item(s.bundle, n, bundle),
+        violated=Or(s.violated, reverted, differs),
         **changes,
     )
 
@@ -97,43 +126,47 @@
 def _node_actions(rules, s, n):
     peer = 1 - n
     retained = s.through[n] + 1 >= s.earliest
-    read = _move(s, n, s.tail, s.rolled, ready=put(s.ready, n, True))
-    whole = s.kept[peer] <= s.through[n] + 1
-    got = If(s.force[peer] >= s.kept[peer], s.force[peer], s.force[n])
-    handed = _move(s, n, s.through[peer], got)
+    read = _advance(s, n, s.tail, s.rolled, ready=set_item(s.ready, n, True))
+    contiguous = s.first_kept[peer] <= s.through[n] + 1
+    received = If(s.bundle[peer] >= s.first_kept[peer], s.bundle[peer], s.bundle[n])
+    forwarded = _advance(s, n, s.through[peer], received)
     newer = s.snapshot >= s.through[n] if rules.snapshot_not_older else True
     continues = s.snapshot + 1 >= s.earliest if rules.snapshot_continues else True
-    force = s.snapshot_force if rules.snapshot_whole else s.last_force
-    restored = _move(s, n, s.snapshot, force, kept=put(s.kept, n, s.snapshot + 1))
-    resumed = _move(restored, n, s.tail, If(s.rolled >= s.earliest, s.rolled, force))
+    bundle = s.snapshot_bundle if rules.snapshot_whole else s.previous_bundle
+    restored = _advance(
+        s, n, s.snapshot, bundle, first_kept=set_item(s.first_kept, n, s.snapshot + 1)
+    )
+    resumed = _advance(
+        restored, n, s.tail, If(s.rolled >= s.earliest, s.rolled, bundle)
+    )
     written = evolve(
         s,
         tail=s.tail + 1,
         snapshot=s.through[n],
-        snapshot_force=s.force[n],
-        last_force=s.snapshot_force,
+        snapshot_bundle=s.bundle[n],
+        previous_bundle=s.snapshot_bundle,
     )
     replaced = evolve(
         s,
-        through=put(s.through, n, 0),
-        force=put(s.force, n, 0),
-        kept=put(s.kept, n, 1),
-        ready=put(s.ready, n, False),
+        through=set_item(s.through, n, 0),
+        bundle=set_item(s.bundle, n, 0),
+        first_kept=set_item(s.first_kept, n, 1),
+        ready=set_item(s.ready, n, False),
     )
-    serves = evolve(
+    served = evolve(
         s,
-        served=put(s.served, n, s.force[n]),
-        wrong=Or(s.wrong, s.force[n] < s.served[n]),
+        served=set_item(s.served, n, s.bundle[n]),
+        violated=Or(s.violated, s.bundle[n] < s.served[n]),
     )
     return [
         Action(f"read {n}", retained, read),
         Action(
-            f"hand on to {n}",
+            f"forward to {n}",
             And(
                 s.through[peer] > s.through[n],
-                whole if rules.records_without_gap else True,
+                contiguous if rules.records_without_gap else True,
             ),
-            handed,
+            forwarded,
         ),
         Action(f"Snapshot by {n}", s.through[n] > 0, written),
         Action(
@@ -142,5 +175,5 @@
             restored if rules.snapshot_continues else resumed,
         ),
         Action(f"replace {n}", True, replaced),
-        Action(f"serve {n}", s.ready[n] if rules.serve_after_tail else True, serves),
+        Action(f"serve {n}", s.ready[n] if rules.serve_after_tail else True, served),
     ]
--- a/specs/bundles_proof.py
+++ b/specs/bundles_proof.py
@@ -1,6 +1,6 @@
 """Inductive invariant of the bundles in force.
 
-The bundle of a fold is a function of the offset that it has reached.
+The bundle in force of a fold depends only on the offset that the fold has reached.
 """
 
 from itertools import permutations
@@ -13,44 +13,44 @@
 
 @attrs.frozen
 class _Fold:
-    """A fold through an offset and the bundle that it holds in force."""
+    """The offset that a fold has reached and the bundle that it has in force."""
 
     through: object
-    force: object
+    bundle: object
 
 
 def invariant(s):
-    """Return the term that holds in every state of every run."""
-    folds = [_Fold(s.through[n], s.force[n]) for n in NODES]
-    folds.append(_Fold(s.snapshot, s.snapshot_force))
+    """Return the term that holds in every state of every run of the model."""
+    folds = [_Fold(s.through[n], s.bundle[n]) for n in NODES]
+    folds.append(_Fold(s.snapshot, s.snapshot_bundle))
     return And(
-        Not(s.wrong),
+        Not(s.violated),
         s.rolled <= s.tail,
-        s.taken <= s.rolled,
-        *(_holds(s, fold) for fold in folds),
-        *(_agree(one, other) for one, other in permutations(folds, 2)),
-        *(term for n in NODES for term in _facts(s, n)),
+        s.parent <= s.rolled,
+        *(_fold_terms(s, fold) for fold in folds),
+        *(_pair_terms(one, other) for one, other in permutations(folds, 2)),
+        *(term for n in NODES for term in _node_terms(s, n)),
     )
 
 
-def _holds(s, fold):
+def _fold_terms(s, fold):
     return And(
-        fold.force <= fold.through,
+        fold.bundle <= fold.through,
         fold.through <= s.tail,
-        fold.force <= s.rolled,
-        Implies(fold.through >= s.rolled, fold.force == s.rolled),
+        fold.bundle <= s.rolled,
+        Implies(fold.through >= s.rolled, fold.bundle == s.rolled),
     )
 
 
-def _agree(one, other):
+def _pair_terms(one, other):
     return And(
-        Implies(one.through <= other.through, one.force <= other.force),
-        Implies(other.force <= one.through, other.force <= one.force),
+        Implies(one.through <= other.through, one.bundle <= other.bundle),
+        Implies(other.bundle <= one.through, other.bundle <= one.bundle),
     )
 
 
-def _facts(s, n):
+def _node_terms(s, n):
     return [
         s.served[n] <= s.rolled,
-        Or(Not(s.ready[n]), s.served[n] <= s.force[n]),
+        Or(Not(s.ready[n]), s.served[n] <= s.bundle[n]),
     ]
--- a/specs/checker.py
+++ b/specs/checker.py
@@ -1,21 +1,24 @@
-"""Searches a typed transition system for a run that breaks its property.
+"""Checks the safety property of a protocol modelled as a transition system.
 
-A state is an attrs class whose fields were made with ``flag`` and ``level``; every
-value is a z3 term. An action holds its guard and the state after it, usually made by
-``attrs.evolve``, so that what it does not name stays as it was.
+``find_trace`` searches the runs of bounded length for a violation;
+``find_induction_failure`` proves by induction that no run of any length has one.
+
+A state is an attrs class whose fields are made with ``bool_field`` and ``int_field``;
+every value is a z3 term. An action has a guard and the state after it, usually made
+with ``attrs.evolve``, which leaves all other fields unchanged.
 """
 
 import attrs
 import z3
 
 BIT_WIDTH = 5
-PICK_WIDTH = 8
+CHOICE_WIDTH = 8
 SEED = 1
 
 
 @attrs.frozen
 class Action:
-    """A step that ``guard`` allows and that leads to the state ``after``."""
+    """A transition to the state ``after``, enabled when the term ``guard`` holds."""
 
     name: str
     guard: object
@@ -24,9 +27,10 @@
 
 @attrs.frozen
 class Model:
-    """A transition system whose ``safe(state)`` must hold in each state of each run.
+    """A transition system and its safety property.
 
-    ``actions(state)`` returns the actions from a state.
+    ``start`` is the initial state and ``actions(state)`` returns the list of actions
+    from a state. The term ``safe(state)`` must hold in every state of every run.
     """
 
     start: object
@@ -34,78 +38,80 @@
     safe: object
 
 
-def flag(count=None):
-    """Return a state field that holds a truth value, or ``count`` of them."""
-    return attrs.field(metadata={"truth": True, "top": None, "count": count})
+def bool_field(count=None):
+    """Return a state field for a boolean, or for ``count`` of them."""
+    return attrs.field(metadata={"bool": True, "maximum": None, "count": count})
 
 
-def level(top, count=None):
-    """Return a state field that holds a number from 0 to ``top``.
+def int_field(maximum, count=None):
+    """Return a state field for an integer from 0 to ``maximum``, or ``count`` of them.
 
-    With None there is no bound for ``find_gap``, and 15 for ``find_trace``.
+    Without a maximum, the integer is unbounded in ``find_induction_failure`` and at
+    most 15 in ``find_trace``, whose integers are signed and of 5 bits.
     """
-    return attrs.field(metadata={"truth": False, "top": top, "count": count})
+    return attrs.field(metadata={"bool": False, "maximum": maximum, "count": count})
 
 
-def blank(state, **values):
-    """Return a state of zeros and false values but for the ``values``."""
+def make_state(state, **values):
+    """Return a state in which each field not in ``values`` is zero or false."""
     for field in attrs.fields(state):
-        zero = False if field.metadata["truth"] else 0
+        default = False if field.metadata["bool"] else 0
         count = field.metadata["count"]
-        values.setdefault(field.name, (zero,) * count if count else zero)
+        values.setdefault(field.name, (default,) * count if count else default)
     return state(**values)
 
 
-def put(values, index, value):
-    """Return the tuple with one item replaced."""
+def set_item(values, index, value):
+    """Return a copy of the tuple with the item at ``index`` replaced."""
     return values[:index] + (value,) + values[index + 1 :]
 
 
-def down(value):
-    """Return the number one lower, not under 0."""
+def decrement(value):
+    """Return the integer minus one, or 0 if it is 0."""
     return z3.If(value > 0, value - 1, value)
 
 
-def up(value, top):
-    """Return the number one higher, not over ``top``."""
-    return z3.If(value < top, value + 1, value)
+def increment(value, maximum):
+    """Return the integer plus one, or itself once it has reached ``maximum``."""
+    return z3.If(value < maximum, value + 1, value)
 
 
 def find_trace(model, depth, prefix=()):
-    """Return the action names of an unsafe run of at most ``depth`` steps.
+    """Return the action names of a run of at most ``depth`` steps that ends unsafe.
 
-    The run begins with the actions named in ``prefix``. Returns None when there is
-    no such run.
+    The run begins with the actions named in ``prefix``. Return None if there is no
+    such run.
     """
     solver = z3.SolverFor("QF_FD")
     solver.set("random_seed", SEED)
-    first, second = (_symbols(type(model.start), step, _bits) for step in (0, 1))
-    pick = z3.BitVec("pick", PICK_WIDTH)
-    step = z3.And(_any_step(model, first, second, pick), *_ranges(second))
+    first, second = (_symbols(type(model.start), step, _bit_vector) for step in (0, 1))
+    choice = z3.BitVec("choice", CHOICE_WIDTH)
+    step = z3.And(_any_transition(model, first, second, choice), *_ranges(second))
     solver.add(*_equations(first, model.start))
-    state, picks = first, []
+    state, choices = first, []
     for number in range(1, depth + 1):
-        after = _symbols(type(model.start), number, _bits)
-        picks.append(z3.BitVec(f"pick.{number}", PICK_WIDTH))
-        old = [*_flat(first), *_flat(second), pick]
-        new = [*_flat(state), *_flat(after), picks[-1]]
+        after = _symbols(type(model.start), number, _bit_vector)
+        choices.append(z3.BitVec(f"choice.{number}", CHOICE_WIDTH))
+        old = [*_terms(first), *_terms(second), choice]
+        new = [*_terms(state), *_terms(after), choices[-1]]
         solver.add(z3.substitute(step, *zip(old, new, strict=True)))
         state = after
     names = [action.name for action in model.actions(model.start)]
-    for pick, name in zip(picks, prefix, strict=False):
-        solver.add(pick == names.index(name))
+    for choice, name in zip(choices, prefix, strict=False):
+        solver.add(choice == names.index(name))
     solver.add(z3.Not(model.safe(state)))
-    return _names(names, solver.model(), picks) if _is_sat(solver) else None
+    return _action_names(names, solver.model(), choices) if _is_sat(solver) else None
 
 
-def find_gap(model, invariant):
-    """Return the name of the step that ``invariant`` does not survive, or None.
+def find_induction_failure(model, invariant):
+    """Return the name of the proof step at which ``invariant`` fails, or None.
 
-    None proves that every state of every run is safe: the invariant holds at the
-    start, each action keeps it, and it implies the property.
+    None proves that every state of every run is safe: the invariant holds in the
+    initial state, each action preserves it, and it implies the safety property.
+    Otherwise return "start", the name of the action, or "property".
     """
-    before = _symbols(type(model.start), 0, _integers)
-    after = _symbols(type(model.start), 1, _integers)
+    before = _symbols(type(model.start), 0, _integer)
+    after = _symbols(type(model.start), 1, _integer)
     holds = z3.And(*_ranges(before), invariant(before))
     start = z3.And(*_equations(before, model.start))
     if _is_sat(_solver(start, z3.Not(invariant(before)))):
@@ -119,8 +125,11 @@
 
 
 def can_step(model, before, after):
-    """Return whether an action leads from a ``before`` to an ``after`` state."""
-    state = _symbols(type(model.start), 0, _integers)
+    """Return whether an action leads from a state to another one.
+
+    ``before`` and ``after`` are predicates on the two states.
+    """
+    state = _symbols(type(model.start), 0, _integer)
     return any(
         _is_sat(_solver(before(state), action.guard, after(action.after)))
         for action in model.actions(state)
@@ -146,38 +155,40 @@
     for field in attrs.fields(type(state)):
         value = getattr(state, field.name)
         for item in value if isinstance(value, tuple) else (value,):
-            if not field.metadata["truth"]:
+            if not field.metadata["bool"]:
                 terms.append(item >= 0)
-            if field.metadata["top"] is not None:
-                terms.append(item <= field.metadata["top"])
+            if field.metadata["maximum"] is not None:
+                terms.append(item <= field.metadata["maximum"])
     return terms
 
 
-def _any_step(model, before, after, pick):
+def _any_transition(model, before, after, choice):
     steps = [
-        z3.And(pick == index, action.guard, *_equations(after, action.after))
+        z3.And(choice == index, action.guard, *_equations(after, action.after))
         for index, action in enumerate(model.actions(before))
     ]
-    return z3.Or(z3.And(pick == len(steps), *_equations(after, before)), *steps)
+    return z3.Or(z3.And(choice == len(steps), *_equations(after, before)), *steps)
 
 
-def _names(names, found, picks):
-    indexes = [found.eval(pick, model_completion=True).as_long() for pick in picks]
+def _action_names(names, found, choices):
+    indexes = [
+        found.eval(choice, model_completion=True).as_long() for choice in choices
+    ]
     return [names[index] for index in indexes if index < len(names)]
 
 
-def _bits(name):
+def _bit_vector(name):
     return z3.BitVec(name, BIT_WIDTH)
 
 
-def _integers(name):
+def _integer(name):
     return z3.Int(name)
 
 
 def _symbols(state, step, number):
     values = []
     for field in attrs.fields(state):
-        make = z3.Bool if field.metadata["truth"] else number
+        make = z3.Bool if field.metadata["bool"] else number
         count = field.metadata["count"]
         names = [f"{field.name}.{item}.{step}" for item in range(count or 1)]
         terms = tuple(make(name) for name in names)
@@ -185,7 +196,7 @@
     return state(*values)
 
 
-def _flat(state):
+def _terms(state):
     terms = []
     for field in attrs.fields(type(state)):
         value = getattr(state, field.name)
@@ -194,4 +205,6 @@
 
 
 def _equations(left, right):
-    return [one == other for one, other in zip(_flat(left), _flat(right), strict=True)]
+    return [
+        one == other for one, other in zip(_terms(left), _terms(right), strict=True)
+    ]
--- a/specs/newcomer_proof.py
+++ b/specs/newcomer_proof.py
@@ -1,28 +1,33 @@
 """Inductive invariant of a start during an outage.
 
-While the newcomer may send, its sponsor has not acknowledged a batch that it lacks.
+While the newcomer may send, its sponsor has not acknowledged a batch of which the
+newcomer does not know.
 """
 
 from z3 import And, Implies, Not
 
-from .newcomer import DEADLINE, DRAINING, NOTICED, PROOF, SERVING
+from .newcomer import DEADLINE_TICKS, DRAINING, NOTICED, PROOF_TICKS, SERVING
 
 
 def invariant(s):
-    """Return the term that holds in every state of every run."""
-    trusts = And(s.told_stale, s.told_age <= PROOF)
-    unaware = And(trusts, s.newcomer_seen >= s.told_seen, s.newcomer_seen == SERVING)
-    soon = s.since_regain <= s.told_age
-    ends = s.since_regain + s.running <= PROOF + DEADLINE
+    """Return the term that holds in every state of every run of the model."""
+    accepts_heartbeat = And(s.heartbeat_stale, s.heartbeat_age <= PROOF_TICKS)
+    may_send = And(
+        accepts_heartbeat,
+        s.newcomer_seen >= s.heartbeat_seen,
+        s.newcomer_seen == SERVING,
+    )
+    regained_after_heartbeat = s.since_regain <= s.heartbeat_age
+    ends_in_time = s.since_regain + s.running <= PROOF_TICKS + DEADLINE_TICKS
     return And(
-        s.seen <= s.phase,
-        s.newcomer_seen <= s.seen,
-        s.told_seen <= s.seen,
+        s.sponsor_seen <= s.phase,
+        s.newcomer_seen <= s.sponsor_seen,
+        s.heartbeat_seen <= s.sponsor_seen,
         Implies(s.linked, s.was_linked),
         Implies(s.phase >= DRAINING, s.acked),
-        Implies(s.acked, s.seen >= NOTICED),
-        Implies(unaware, And(s.was_linked, Not(s.acked))),
-        Implies(And(unaware, Not(s.stale)), soon),
+        Implies(s.acked, s.sponsor_seen >= NOTICED),
+        Implies(may_send, And(s.was_linked, Not(s.acked))),
+        Implies(And(may_send, Not(s.sponsor_stale)), regained_after_heartbeat),
         Implies(s.running > 0, And(s.was_linked, Not(s.acked))),
-        Implies(And(s.running > 0, Not(s.stale)), ends),
+        Implies(And(s.running > 0, Not(s.sponsor_stale)), ends_in_time),
     )
--- a/tests/spec_barrier.feature
+++ b/tests/spec_barrier.feature
@@ -1,7 +1,7 @@
 Feature: specification of the drain barrier
 
   Two entries and one VM. The proof is by induction and covers any number of batches
-  and steps; pauses between check and send are bounded by the margin.
+  and steps. A pause between check and send is bounded by the margin of the wait.
 
   Scenario: no planned reboot cuts a request
     Given the specification "barrier"
--- a/tests/spec_bundles.feature
+++ b/tests/spec_bundles.feature
@@ -1,8 +1,8 @@
 Feature: specification of the bundles in force
 
-  Two nodes, one log with retention, one newest snapshot. The proof is by induction
-  and covers any number of steps, records and replacements. That a bundle arrives
-  within seconds is no part of it.
+  Two nodes, one log with retention, and its newest snapshot. The proof is by induction
+  and covers any number of steps, records and replacements. It does not cover that a
+  bundle arrives within seconds.
 
   Scenario: the bundle in force never reverts and nodes at the tail agree
     Given the specification "bundles"
--- a/tests/spec_members.feature
+++ b/tests/spec_members.feature
@@ -1,6 +1,6 @@
 Feature: specification of the drain barrier under replacement
 
-  One seat, its holder and its successor, one VM. The proof is by induction and covers
+  One seat, its process and its successor, one VM. The proof is by induction and covers
   any number of steps.
 
   Scenario: no planned reboot cuts a request of a replaced entry
--- a/tests/spec_slots.feature
+++ b/tests/spec_slots.feature
@@ -1,7 +1,7 @@
 Feature: specification of the slot tokens
 
-  One slot, its home and two borrowers, each replaced at most once. The search is
-  bounded by steps; it is no proof for longer runs.
+  One slot, its home and two borrowers, each replaced at most once. The search covers
+  runs up to a number of steps; longer runs are not proved.
 
   Scenario: never more requests than slots
     Given the specification "slots"
@@ -14,7 +14,7 @@
     Examples:
       | rule                   | depth |
       | return_home_only       | 11    |
-      | totals                 | 7     |
+      | messages_carry_totals  | 7     |
       | refuse_replaced        | 12    |
       | unlock_after_reports   | 8     |
       | unlock_after_deadline  | 8     |
--- a/tests/steps/spec_code.py
+++ b/tests/steps/spec_code.py
@@ -1,4 +1,7 @@
-"""Steps that play runs of the barrier's specification on the code's fold."""
+"""Steps that check the code against the models of the protocols.
+
+Runs of the barrier model are replayed on the records and folds of the code.
+"""
 
 from itertools import pairwise
 
@@ -16,17 +19,17 @@
 from cardamomgrade.fleet import LEASE_MS, may_send
 from cardamomgrade.member import owed_records, Seat
 
-TICK_MS = LEASE_MS // barrier.LEASE
-DEADLINE_MS = barrier.DEADLINE * TICK_MS
+TICK_MS = LEASE_MS // barrier.LEASE_TICKS
+DEADLINE_MS = barrier.DEADLINE_TICKS * TICK_MS
 MEMORY_MS = 1000
 VM = "a0"
 SEATS = [Seat(name, "z", "127.0.0.1:1", 1) for name in ("e1", "e2")]
 
 
 class Replay:
-    """Plays action names of the barrier on a fleet log and on two entries' views.
+    """Replays actions of the barrier model on a fleet log and the views of two entries.
 
-    ``refused`` holds the names of the actions that the code refuses.
+    Ages are in ticks. ``refused`` lists the names of the actions that the code refuses.
     """
 
     def __init__(self):
@@ -42,8 +45,8 @@
         self.running = [0, 0]
         self.refused = []
 
-    def play(self, names):
-        """Play the actions in order."""
+    def replay(self, names):
+        """Replay the named actions in order and return the replay."""
         for name in names:
             action, _, entry = name.rpartition(" ")
             if action:
@@ -80,7 +83,7 @@
     def _read(self, e):
         self.reads[e], self.read_ages[e] = self.log.state, 0
 
-    def _hand_on_to(self, e):
+    def _forward_to(self, e):
         self.reads[e], self.read_ages[e] = self.views[1 - e], self.ages[1 - e]
 
     def _fold(self, e):
@@ -110,7 +113,7 @@
         return True
 
     def _check(self, e):
-        return bool(may_send(self.views[e], VM, self.ages[e] < barrier.LEASE))
+        return bool(may_send(self.views[e], VM, self.ages[e] < barrier.LEASE_TICKS))
 
     def _send(self, e):
         self.running[e] = 1
@@ -122,33 +125,33 @@
 @then('the code refuses "{step}" in the unsafe run of {depth:d} steps without "{rule}"')
 def step_refused(context, step, depth, rule):
     trace = search("barrier", rule, depth)
-    assert trace is not None, f"no counterexample without {rule}"
-    refused = Replay().play(trace).refused
+    assert trace is not None, f"no unsafe run found without the rule {rule}"
+    refused = Replay().replay(trace).refused
     assert step in [name.rpartition(" ")[0] or name for name in refused], (
         trace,
         refused,
     )
 
 
-@then('the code takes every step of "{names}"')
-def step_taken(context, names):
-    replay = Replay().play(names.split(", "))
+@then('the code accepts every action of "{names}"')
+def step_accepted(context, names):
+    replay = Replay().replay(names.split(", "))
     assert not replay.refused, replay.refused
     assert replay.log.state.vms[VM].phase == "serving"
     assert not replay.log.state.batches
 
 
-@then("the states of the vm chart are those of the specifications, step by step")
+@then("the vm chart has exactly the states and transitions of the specifications")
 def step_chart(context):
     names = ("NOTICED", "DRAINING", "REBOOTING", "SERVING")
     assert {name.lower() for name in names} == set(VM_CHART.transitions)
-    assert _edges(barrier, names) == {
-        (state, following)
+    assert _transitions(barrier, names) == {
+        (state, next_name)
         for state, table in VM_CHART.transitions.items()
-        for following in table.values()
-        if state != following
+        for next_name in table.values()
+        if state != next_name
     }
-    without_notice = _edges(moves, names[1:])
+    without_notice = _transitions(moves, names[1:])
     assert without_notice == {
         ("serving", "draining"),
         ("draining", "rebooting"),
@@ -156,27 +159,27 @@
     }
 
 
-def _edges(spec, names):
-    """Return the (phase, next phase) pairs that a specification's log can take."""
+def _transitions(spec, names):
+    """Return the (phase, next phase) pairs that an action of a model leads to."""
     model = getattr(spec, spec.__name__.rpartition(".")[2])()
-    edges = set()
+    found = set()
     for name in names:
-        for following in names:
-            if name != following and _has_step(model, spec, name, following):
-                edges.add((name.lower(), following.lower()))
-    return edges
+        for next_name in names:
+            if name != next_name and _has_step(model, spec, name, next_name):
+                found.add((name.lower(), next_name.lower()))
+    return found
 
 
-def _has_step(model, spec, name, following):
-    """Return whether some action leads from one phase to the other."""
+def _has_step(model, spec, name, next_name):
+    """Return whether an action of the model leads from one phase to another."""
     return can_step(
         model,
         lambda s: s.phase == getattr(spec, name),
-        lambda s: s.phase == getattr(spec, following),
+        lambda s: s.phase == getattr(spec, next_name),
     )
 
 
-@then("a seat taken at another address keeps the former process in the barrier")
+@then("a join of the seat at another address keeps the former process in the barrier")
 def step_replaced_alive(context):
     log = FleetLog()
     log.start(parse_bundle(bundle_text(bundle_options())))
@@ -197,7 +200,7 @@
 
 
 @then("a VM removed and added to another pool is moved by a batch only")
-def step_readded(context):
+def step_added_again(context):
     log = FleetLog()
     estate = bundle_options()
     log.start(parse_bundle(bundle_text(estate)))
@@ -216,12 +219,14 @@
     return records.KeyClaimed(key, "e1", 1, request, MEMORY_MS)
 
 
-def _runs(log, cut_from, cut_to):
-    """Return the times of claims of b"key" that a whole or a cut reader let win.
+def _run_times_ms(log, cut_from, cut_to):
+    """Return the times in ms of the claims of b"key" that win.
 
-    The cut reader misses the offsets from ``cut_from`` up to ``cut_to``.
+    One reader reads the whole log; the other one misses the offsets from ``cut_from``
+    up to but without ``cut_to``. The second reader decides about the claims that it
+    reads while it knows all claims within the memory, the first one about the others.
     """
-    whole, cut, ran = ClaimState(), ClaimState(), []
+    whole, cut, run_times_ms = ClaimState(), ClaimState(), []
     for offset, (time_ms, record) in enumerate(log):
         logged = records.Logged(offset, time_ms, record)
         won = whole.fold(logged)
@@ -229,27 +234,29 @@
             cut.lose(cut_to)
         if not cut_from <= offset < cut_to:
             known = cut.complete(time_ms, MEMORY_MS)
-            won_there = cut.fold(logged)
-            won = won_there if known else won
+            won_in_cut = cut.fold(logged)
+            won = won_in_cut if known else won
         if won is True and record.key == b"key" and _is_claim(record):
-            ran.append(time_ms)
-    return ran
+            run_times_ms.append(time_ms)
+    return run_times_ms
 
 
 def _is_claim(record):
     return isinstance(record, records.KeyClaimed)
 
 
-def _check_apart(ran):
-    gaps = [later - earlier for earlier, later in pairwise(ran)]
-    assert all(gap >= MEMORY_MS for gap in gaps), f"runs at {ran} ms"
+def _check_gaps(run_times_ms):
+    gaps = [later - earlier for earlier, later in pairwise(run_times_ms)]
+    assert all(gap >= MEMORY_MS for gap in gaps), (
+        f"runs at {run_times_ms} ms, some less than {MEMORY_MS} ms apart"
+    )
 
 
-@then("a reader of truncated claims dispatches no request that ran elsewhere")
+@then("a reader of the truncated stream dispatches no request that ran elsewhere")
 def step_truncated(context):
     times = enumerate((0, 900, 1100, 1950))
     log = [(time_ms, _claim(b"key", f"r{number}")) for number, time_ms in times]
-    _check_apart(_runs(log, 0, 1))
+    _check_gaps(_run_times_ms(log, 0, 1))
 
 
 @then("a reader that missed a release dispatches no request that ran elsewhere")
@@ -263,4 +270,4 @@
         (250, release),
         (1160, _claim(b"key", "r3")),
     ]
-    _check_apart(_runs(log, 1, 2)[1:])
+    _check_gaps(_run_times_ms(log, 1, 2)[1:])
--- a/tests/steps/spec_traces.py
+++ b/tests/steps/spec_traces.py
@@ -1,4 +1,4 @@
-"""Searches that several features share; each is made once a run."""
+"""Search for unsafe runs, cached because several features need the same ones."""
 
 import importlib
 from functools import cache
@@ -8,8 +8,12 @@
 
 @cache
 def search(name, rule, depth, prefix=""):
-    """Return the unsafe run of a specification without ``rule`` (empty: with all)."""
+    """Return the action names of an unsafe run of a model without ``rule``, or None.
+
+    With an empty ``rule``, all rules hold. ``prefix`` names the first actions of the
+    run, separated by ", ".
+    """
     spec = importlib.import_module(f"specs.{name}")
     rules = spec.Rules(**{rule: False}) if rule else spec.Rules()
-    begun = prefix.split(", ") if prefix else ()
-    return find_trace(getattr(spec, name)(rules), depth, begun)
+    first_actions = prefix.split(", ") if prefix else ()
+    return find_trace(getattr(spec, name)(rules), depth, first_actions)
