--- a/tests/spec_newcomer.feature
+++ b/tests/spec_newcomer.feature
@@ -1,7 +1,8 @@
 Feature: specification of a start during an outage of the log
 
-  One VM, the last member that has to acknowledge and a newcomer that sends on its
-  word. The proof is by induction and covers any number of steps.
+  One VM, the last member that has to acknowledge (the sponsor) and a newcomer that
+  sends on the heartbeats of the sponsor. The proof is by induction and covers any
+  number of steps.
 
   Scenario: no planned reboot cuts a request of a newcomer
     Given the specification "newcomer"
@@ -20,12 +21,12 @@
       | newcomer_caught_up | 11    |
       | outage_only        | 10    |
 
-  Scenario: the code makes a newcomer catch up before it trusts
+  Scenario: in the code, a newcomer that lacks records does not rely on its sponsor's heartbeat
     Given a sponsor without the log and a newcomer that lacks its last records
-    Then the newcomer does not send on its sponsor's word
+    Then the newcomer does not send on its sponsor's heartbeat
 
-  Scenario: the code lets a sponsor's word age
+  Scenario: in the code, a newcomer does not rely on an old heartbeat of its sponsor
     Given a sponsor without the log and a newcomer that lacks its last records
     When the newcomer has its sponsor's records
-    And the newcomer wakes after a freeze
-    Then the newcomer does not send on its sponsor's word
+    And the newcomer's clock jumps forward after a freeze
+    Then the newcomer does not send on its sponsor's heartbeat
