--- a/src/cardamomgrade/health.py
+++ b/src/cardamomgrade/health.py
@@ -1,8 +1,8 @@
 """Distinguishes faulty workers, on which all tasks fail, from faulty tasks.
 
-A worker is set aside, which means that it gets no tasks, when several distinct tasks
-in a row failed on it. Only a fraction of a pool's workers may be set aside at once. A
-worker is tried again after a delay, which doubles each time it is set aside.
+A worker is quarantined, which means that it gets no tasks, when several distinct tasks
+in a row failed on it. Only a fraction of a pool's workers may be quarantined at once. A
+worker is tried again after a delay, which doubles each time it is quarantined.
 """
 
 import heapq
@@ -11,9 +11,9 @@
 
 STREAK_LIMIT_TASKS = 3
 FAULTY_WORKER_TASKS_MIN = 2  # distinct failed tasks that make a worker suspect
-ASIDE_SHARE = 0.1
-ASIDE_MIN_MS = 60_000
-ASIDE_MAX_MS = 3_600_000
+QUARANTINE_POOL_FRACTION = 0.1
+QUARANTINE_MIN_MS = 60_000
+QUARANTINE_MAX_MS = 3_600_000
 TASK_FAULT_HEALTHY_WORKERS = 3
 TASK_FAULT_WORKERS_MAX = 6
 
@@ -23,56 +23,59 @@
     pool: str
     delay_ms: int
     tasks: dict = attrs.field(factory=dict)
-    aside: bool = False
+    quarantined: bool = False
 
 
 class Health:
-    """Consecutive failures of each worker, and the workers that are set aside.
+    """Consecutive failures of each worker, and the workers that are quarantined.
 
-    A worker is set aside after ``streak_limit`` distinct tasks in a row failed on it,
-    for ``aside_min_ms`` at first and ``aside_max_ms`` at most. At most the fraction
-    ``aside_share`` of a pool, but at least one worker, is set aside at once.
+    A worker is quarantined after ``streak_limit`` distinct tasks in a row failed on it,
+    for ``quarantine_min_ms`` at first and ``quarantine_max_ms`` at most. At most the
+    fraction ``quarantine_fraction`` of a pool, but at least one worker, is quarantined
+    at once.
     """
 
     def __init__(
         self,
         streak_limit=STREAK_LIMIT_TASKS,
-        aside_min_ms=ASIDE_MIN_MS,
-        aside_max_ms=ASIDE_MAX_MS,
-        aside_share=ASIDE_SHARE,
+        quarantine_min_ms=QUARANTINE_MIN_MS,
+        quarantine_max_ms=QUARANTINE_MAX_MS,
+        quarantine_fraction=QUARANTINE_POOL_FRACTION,
     ):
         self._streak_limit = streak_limit
-        self._aside_min_ms = aside_min_ms
-        self._aside_max_ms = aside_max_ms
-        self._aside_share = aside_share
+        self._quarantine_min_ms = quarantine_min_ms
+        self._quarantine_max_ms = quarantine_max_ms
+        self._quarantine_fraction = quarantine_fraction
         self._streaks = {}
-        self._aside = {}
+        self._quarantined_counts = {}
         self._due = []
 
     def failed(self, worker, pool, task, pool_workers, now_ms):
         """Count a failed task; return when to try its worker again in ms, or None.
 
-        A returned time means that the worker is set aside from now on.
+        A returned time means that the worker is quarantined from now on.
         """
         streak = self._streaks.setdefault(
-            worker, _FailureStreak(pool, self._aside_min_ms)
+            worker, _FailureStreak(pool, self._quarantine_min_ms)
         )
         streak.tasks[task] = True
-        if streak.aside or len(streak.tasks) < self._streak_limit:
+        if streak.quarantined or len(streak.tasks) < self._streak_limit:
             return None
-        if self._aside.get(pool, 0) >= max(1, int(pool_workers * self._aside_share)):
+        if self._quarantined_counts.get(pool, 0) >= max(
+            1, int(pool_workers * self._quarantine_fraction)
+        ):
             return None
-        streak.aside = True
-        self._aside[pool] = self._aside.get(pool, 0) + 1
+        streak.quarantined = True
+        self._quarantined_counts[pool] = self._quarantined_counts.get(pool, 0) + 1
         until_ms = now_ms + streak.delay_ms
-        streak.delay_ms = min(streak.delay_ms * 2, self._aside_max_ms)
+        streak.delay_ms = min(streak.delay_ms * 2, self._quarantine_max_ms)
         heapq.heappush(self._due, (until_ms, worker))
         return until_ms
 
     def succeeded(self, worker):
-        """Clear the failures of a worker that completed a task, unless set aside."""
+        """Clear the failures of a worker that completed a task, unless quarantined."""
         streak = self._streaks.get(worker)
-        if streak is not None and not streak.aside:
+        if streak is not None and not streak.quarantined:
             del self._streaks[worker]
 
     def absolve(self, worker, task):
@@ -86,22 +89,22 @@
         streak = self._streaks.get(worker)
         return len(streak.tasks) if streak is not None else 0
 
-    def is_aside(self, worker):
-        """Return whether a worker is set aside."""
+    def is_quarantined(self, worker):
+        """Return whether a worker is quarantined."""
         streak = self._streaks.get(worker)
-        return streak is not None and streak.aside
+        return streak is not None and streak.quarantined
 
     def due(self, now_ms):
         """Return the workers to try again from now on, each once.
 
-        One more failure of such a worker sets it aside again.
+        One more failure of such a worker quarantines it again.
         """
         workers = []
         while self._due and self._due[0][0] <= now_ms:
             worker = heapq.heappop(self._due)[1]
             streak = self._streaks[worker]
-            streak.aside = False
-            self._aside[streak.pool] -= 1
+            streak.quarantined = False
+            self._quarantined_counts[streak.pool] -= 1
             kept = list(streak.tasks)[: self._streak_limit - 1]
             streak.tasks = dict.fromkeys(kept, True)
             workers.append(worker)
--- a/src/cardamomgrade/jobs/agent.py
+++ b/src/cardamomgrade/jobs/agent.py
@@ -1,7 +1,6 @@
 """Scheduler side of one executor: renews its lease, sends orders, reads reports.
 
-An executor's life, or instance, is the time from one start of it to its end; a restart
-registers a new one under another id.
+A restart of an executor is a new incarnation, which registers under a new id.
 """
 
 import attrs
@@ -29,7 +28,7 @@
 
 @event(606)
 class ExecutorOver:
-    """An executor certainly runs nothing any more; its runs are ended as lapsed."""
+    """An executor certainly runs nothing any more; its runs are marked as lapsed."""
 
     executor: str
     runs: int
@@ -99,7 +98,7 @@
         self._executor = executor
         self._driver = driver
         self._lease = Lease(loop.now(), executor.entry.clock_ms, lease_ms)
-        placed = executor.holdings.items() if inherited else ()
+        placed = executor.allocations.items() if inherited else ()
         self._inherited = {(task, item.run) for task, item in placed}
         self._starts = {}
         self._stopping = {}
@@ -114,7 +113,7 @@
 
     @property
     def name(self):
-        """The id of the executor's instance."""
+        """The id of the executor's incarnation."""
         return self._executor.name
 
     def close(self):
@@ -142,9 +141,9 @@
 
     def _needs_renewal(self):
         executor = self._executor
-        is_probe = executor.silent and executor.listed
+        is_probe = executor.unreachable and executor.listed
         unacknowledged = self._acknowledged_end < self._received_end
-        return bool(executor.holdings) or unacknowledged or is_probe
+        return bool(executor.allocations) or unacknowledged or is_probe
 
     def acknowledge_ends(self, number):
         """Acknowledge ends up to ``number``, which are stored, at the next renewal."""
@@ -158,13 +157,13 @@
         now = self._renewed_at = self._loop.now()
         stored_end = self._stored_end
         may_wait = (
-            self._executor.holdings
-            and not self._executor.silent
+            self._executor.allocations
+            and not self._executor.unreachable
             and not self._inherited
         )
         wait_ms = self._wait_ms if may_wait else 0
-        deadline = None if self._executor.silent else self._lease.grant(now)
-        if not self._executor.holdings:
+        deadline = None if self._executor.unreachable else self._lease.grant(now)
+        if not self._executor.allocations:
             deadline = None
 
         def done(report):
@@ -180,8 +179,8 @@
         now = self._loop.now()
         if isinstance(report, LeaseReport):
             self._lease.update_clock(now, report.clock_ms)
-            if self._executor.silent:
-                self._executor.silent = False
+            if self._executor.unreachable:
+                self._executor.unreachable = False
                 note(ExecutorReachable(self.name, True, ""))
                 self._driver.on_reachable(self.name)
             self._process_ends(report)
@@ -193,24 +192,26 @@
             self._driver.on_fenced(self.name)
             return
         if report.result is OrderResult.WRONG_LIFE:
-            self._report_gone("another instance answers at its address")
+            self._report_gone("another incarnation answers at its address")
             return
-        if not self._executor.silent:
-            self._executor.silent = True
+        if not self._executor.unreachable:
+            self._executor.unreachable = True
             note(ExecutorReachable(self.name, False, report.result.value))
-        if self._lease.has_lapsed(now) and self._executor.holdings:
+        if self._lease.has_lapsed(now) and self._executor.allocations:
             self._report_lapsed()
         self._loop.call_later(RENEW_RETRY_S, self.renew_if_needed)
 
     def _report_lapsed(self):
-        note(ExecutorOver(self.name, len(self._executor.holdings), "its lease lapsed"))
+        note(
+            ExecutorOver(self.name, len(self._executor.allocations), "its lease lapsed")
+        )
         self._starts.clear()
         self._stopping.clear()
         self._driver.on_lease_lapsed(self.name)
 
     def _report_gone(self, why):
         if not self._closed:
-            note(ExecutorOver(self.name, len(self._executor.holdings), why))
+            note(ExecutorOver(self.name, len(self._executor.allocations), why))
             self._driver.on_executor_gone(self.name)
 
     def _process_ends(self, report):
@@ -225,26 +226,26 @@
     def _reconcile(self, report, sent_at):
         """Compare the runs that the executor reports with those placed on it."""
         reported = {(item.task, item.run) for item in report.running}
-        placed = self._executor.holdings
+        placed = self._executor.allocations
         for task, run in reported:
-            holding = placed.get(task)
-            if holding is None or holding.run != run:
+            allocation = placed.get(task)
+            if allocation is None or allocation.run != run:
                 note(StrayRun(self.name, task, run))
                 self.stop(task, run)
-        for task, holding in list(placed.items()):
-            if (task, holding.run) in reported:
+        for task, allocation in list(placed.items()):
+            if (task, allocation.run) in reported:
                 continue
-            pending = self._starts.get((task, holding.run))
-            if (task, holding.run) in self._inherited:
-                self._driver.on_run_withdrawn(self.name, task, holding.run)
+            pending = self._starts.get((task, allocation.run))
+            if (task, allocation.run) in self._inherited:
+                self._driver.on_run_withdrawn(self.name, task, allocation.run)
             elif (
                 pending is not None
                 and pending.accepted_at
                 and pending.accepted_at < sent_at
             ):
-                note(RunMissing(self.name, task, holding.run))
-                self._starts.pop((task, holding.run))
-                self._driver.on_run_missing(self.name, task, holding.run)
+                note(RunMissing(self.name, task, allocation.run))
+                self._starts.pop((task, allocation.run))
+                self._driver.on_run_missing(self.name, task, allocation.run)
         watch_closely = self._driver.on_running(self.name, report.running)
         self._wait_ms = WATCHED_WAIT_MS if watch_closely else RENEW_WAIT_MS
 
@@ -281,7 +282,7 @@
         if result is OrderResult.FENCED:
             self._driver.on_fenced(self.name)
         elif result is OrderResult.WRONG_LIFE:
-            self._report_gone("another instance answers at its address")
+            self._report_gone("another incarnation answers at its address")
         elif result is OrderResult.OUTDATED:
             pending.accepted_at = now
         elif pending.maybe_received or result in (
@@ -309,8 +310,8 @@
 
         def done(answer):
             self._lease.update_clock(self._loop.now(), answer.clock_ms)
-            holding = self._executor.holdings.get(task)
-            if holding is None or holding.run != run:
+            allocation = self._executor.allocations.get(task)
+            if allocation is None or allocation.run != run:
                 self._stopping.pop((task, run), None)
             elif answer.result is OrderResult.FENCED:
                 self._driver.on_fenced(self.name)
--- a/src/cardamomgrade/jobs/availability.py
+++ b/src/cardamomgrade/jobs/availability.py
@@ -9,7 +9,7 @@
 """
 
 READY_PERCENT = 100
-REPORT_TIMEOUT_S = 2.0  # two lease renewals; a silent executor may be lost
+REPORT_TIMEOUT_S = 2.0  # two lease renewals; an executor that misses them may be gone
 
 
 class Availability:
@@ -53,7 +53,7 @@
                 return False
             if self._count_unavailable(names, step, now) + len(names) > step.may_miss:
                 return False
-        self._stopping.update(executor.holdings)
+        self._stopping.update(executor.allocations)
         return True
 
     def thin_out(self, executor, now):
@@ -78,7 +78,7 @@
     def _budgeted_tasks(self, executor, now):
         """Return (names, step) of budgeted steps with ready tasks on an executor."""
         by_step = {}
-        for name in executor.holdings:
+        for name in executor.allocations:
             step = self._step_of(name)
             if step is not None and step.lasting and step.may_miss >= 0:
                 by_step.setdefault(name.rpartition(".")[0], []).append(name)
--- a/src/cardamomgrade/jobs/driver.py
+++ b/src/cardamomgrade/jobs/driver.py
@@ -43,9 +43,9 @@
 
 @event(612)
 class PaceOrdered:
-    """The pace of a task that fills was changed to ``percent`` of full speed.
+    """The pace of a fill task was changed to ``percent`` of full speed.
 
-    Tasks that fill use the capacity that serving tasks on the same executor leave.
+    Fill tasks use the capacity that serving tasks on the same executor leave.
     """
 
     task: str
@@ -92,8 +92,8 @@
         self._writer = Writer(loop, self._jobs_topic, term, self.depose, metrics)
         settled_at = loop.now() + cfg.stop_ms / MS + EPOCH_SPREAD_S
         self._availability = Availability(self._step_of, settled_at)
-        parts = VmDependencies(self._scheduler, self._writer, self._availability)
-        self._vms = VmManager(loop, cfg, platform, term, view, parts, self)
+        deps = VmDependencies(self._scheduler, self._writer, self._availability)
+        self._vms = VmManager(loop, cfg, platform, term, view, deps, self)
         self._executors = TopicFollower(
             loop,
             platform.executors_topic(),
@@ -152,8 +152,8 @@
             "jobs_open": len(jobs),
             "jobs_not_begun": sum(not item.begun for item in jobs),
             "executors": len(executors),
-            "executors_silent": sum(item.silent for item in executors),
-            "runs": sum(len(item.holdings) for item in executors),
+            "executors_silent": sum(item.unreachable for item in executors),
+            "runs": sum(len(item.allocations) for item in executors),
         }
 
     def read_back(self, term):
@@ -190,7 +190,7 @@
             return
         known = name in self._scheduler.executors
         self._scheduler.put_executor(decoded)
-        if not known and self._scheduler.executors[name].holdings:
+        if not known and self._scheduler.executors[name].allocations:
             self._agent(name)
         self.request_plan()
 
@@ -211,7 +211,7 @@
             return
         now_ms = self._loop.now() * MS
         starts = self._scheduler.plan(now_ms, time.time() * MS)
-        for waited_ms in self._scheduler.take_waits():
+        for waited_ms in self._scheduler.take_start_delays():
             self._metrics.time("first_start", waited_ms / MS)
         self._metrics.time("plan", self._loop.now() - now_ms / MS)
         stops = self._scheduler.take_stops()
@@ -232,7 +232,7 @@
             if agent is not None:
                 agent.acknowledge_ends(number)
         for order in starts:
-            if self._scheduler.is_live(order):
+            if self._scheduler.is_valid_start(order):
                 self._agent(order.executor).start(order)
             else:
                 self._scheduler.withdraw(order.executor, order.task, order.run)
@@ -245,7 +245,9 @@
         agent = self._agents.get(name)
         if agent is None:
             executor = self._scheduler.executors[name]
-            inherited = bool(executor.holdings) and not self._all_placed_here(executor)
+            inherited = bool(executor.allocations) and not self._all_placed_this_term(
+                executor
+            )
             client = self._platform.executor(executor.entry, self._epoch)
             agent = ExecutorAgent(
                 self._loop, client, executor, self, inherited, self._lease_ms
@@ -254,9 +256,9 @@
             agent.renew_if_needed()
         return agent
 
-    def _all_placed_here(self, executor):
+    def _all_placed_this_term(self, executor):
         """Return whether every run on an executor was placed in this term."""
-        return executor.name in self._scheduler.placed_here
+        return executor.name in self._scheduler.newly_used_executors
 
     def _tick(self):
         if self._closed:
@@ -265,8 +267,8 @@
         now = self._loop.now()
         self._scheduler.next_due_ms(time.time() * MS)
         if now - self._started_at > lapse_bound_s(self._lease_ms):
-            for name in self._scheduler.lost_executors():
-                self._scheduler.lose_runs(name, now * MS)
+            for name in self._scheduler.unregistered_executors():
+                self._scheduler.mark_runs_lapsed(name, now * MS)
         self._forget_jobs(now)
         if now - self._durations_saved_at > DURATIONS_SAVE_INTERVAL_S:
             self._durations_saved_at = now
@@ -306,33 +308,33 @@
         self.request_plan()
 
     def on_run_withdrawn(self, name, task, run):
-        """Take back a run that did not and will not begin."""
+        """Cancel the placement of a run that did not and will not begin."""
         self._scheduler.withdraw(name, task, run)
         self.request_plan()
 
     def on_run_missing(self, name, task, run):
-        """End as lapsed a run that is reported neither as running nor as ended."""
+        """Mark as lapsed a run that is reported neither as running nor as ended."""
         now_ms = self._loop.now() * MS
         self._scheduler.end(name, task, run, Outcome.LAPSED, "", now_ms)
         self.request_plan()
 
     def on_start_refused(self, name):
         """Place no runs on an executor for REFUSAL_BACKOFF_MS."""
-        self._scheduler.set_aside(name, self._loop.now() * MS + REFUSAL_BACKOFF_MS)
+        self._scheduler.pause_executor(name, self._loop.now() * MS + REFUSAL_BACKOFF_MS)
 
     def on_reachable(self, name):
         """Plan again for an executor that answers again."""
-        self._scheduler.reopen(name)
+        self._scheduler.replan_executor(name)
         self.request_plan()
 
     def on_lease_lapsed(self, name):
-        """End the runs of an executor whose lease has lapsed; it may still exist."""
-        self._scheduler.lose_runs(name, self._loop.now() * MS)
+        """Mark the runs of an executor, which may still exist, as lapsed."""
+        self._scheduler.mark_runs_lapsed(name, self._loop.now() * MS)
         self.request_plan()
 
     def on_executor_gone(self, name):
-        """End the runs of an executor instance that no longer exists, and drop it."""
-        self._scheduler.lose_runs(name, self._loop.now() * MS)
+        """Mark the runs of an incarnation that no longer exists as lapsed; drop it."""
+        self._scheduler.mark_runs_lapsed(name, self._loop.now() * MS)
         self._scheduler.forget_executor(name)
         agent = self._agents.pop(name, None)
         if agent is not None:
@@ -347,7 +349,7 @@
         """Update availability and pace from the RunningTasks of an executor's report.
 
         Returns whether the next report is wanted sooner: a lasting task is starting,
-        or tasks that fill run beside serving ones.
+        or fill tasks run beside serving ones.
         """
         serving, fills, starting = [], [], False
         for item in running:
@@ -355,10 +357,10 @@
             if step is None:
                 continue
             if step.lasting:
-                at_work = self._availability.reported(
+                ready = self._availability.reported(
                     item.task, item.percent, self._loop.now()
                 )
-                starting = starting or not at_work
+                starting = starting or not ready
             if step.fills:
                 fills.append((item.task, item.run))
             elif step.target_ms:
--- a/src/cardamomgrade/jobs/executors.py
+++ b/src/cardamomgrade/jobs/executors.py
@@ -16,21 +16,22 @@
 
 
 class Executor:
-    """One incarnation of an executor, with the runs that it holds.
+    """One incarnation of an executor, with the capacity allocated to runs on it.
 
     A restart of the executor process is a new incarnation with a new id. ``listed`` is
     set while the platform lists the executor, ``cordoned`` while it gets no new runs
-    because its VM is due for upkeep or a move, and ``silent`` if the last request to it
-    was not answered. ``cores_m`` (thousandths of a core), ``memory_mb`` and
-    ``accelerators`` are the amounts allocated to runs.
+    because its VM is due for upkeep or a move, and ``unreachable`` if the last request
+    to it was not answered. ``allocations`` maps the name of a task to its Allocation.
+    ``cores_m`` (thousandths of a core), ``memory_mb`` and ``accelerators`` are the sums
+    of the allocations.
     """
 
     def __init__(self, entry):
         self.entry = entry
         self.listed = True
         self.cordoned = False
-        self.silent = False
-        self.holdings = {}
+        self.unreachable = False
+        self.allocations = {}
         self.cores_m = 0
         self.memory_mb = 0
         self.accelerators = 0
@@ -44,14 +45,14 @@
     def open(self):
         """Whether new runs may be placed on the executor."""
         return not (
-            self.entry.draining or self.cordoned or self.silent or not self.listed
+            self.entry.draining or self.cordoned or self.unreachable or not self.listed
         )
 
     def fits(self, step):
         """Return whether the free capacity suffices for one more task of a step."""
         entry = self.entry
         return (
-            self.cores_m + step.counted_cores_m <= entry.cores_m
+            self.cores_m + step.reserved_cores_m <= entry.cores_m
             and self.memory_mb + step.memory_mb <= entry.memory_mb
             and self.accelerators + step.accelerators <= entry.accelerators
         )
@@ -61,22 +62,22 @@
         """The fraction of the cores that is not allocated to runs."""
         return 1 - self.cores_m / max(1, self.entry.cores_m)
 
-    def hold(self, task, run, step):
+    def allocate(self, task, run, step):
         """Allocate capacity to a run of a task."""
         allocation = Allocation(
             task,
             run,
-            step.counted_cores_m,
+            step.reserved_cores_m,
             step.memory_mb,
             step.accelerators,
             step.lasting,
         )
-        self.holdings[task] = allocation
+        self.allocations[task] = allocation
         self._adjust_usage(allocation, 1)
 
     def release(self, task):
         """Free the capacity of a task's run, if any is allocated."""
-        allocation = self.holdings.pop(task, None)
+        allocation = self.allocations.pop(task, None)
         if allocation is not None:
             self._adjust_usage(allocation, -1)
 
--- a/src/cardamomgrade/jobs/needs.py
+++ b/src/cardamomgrade/jobs/needs.py
@@ -33,9 +33,9 @@
     def load(self, service, pool, now_ms, quarantined=frozenset()):
         """Return the PoolLoad of a Service whose executors are ``pool``.
 
-        Executors that are silent, or named in ``quarantined``, do not count towards its
-        size: a small pool would otherwise look large enough although none of its
-        executors can take the waiting work.
+        Executors that are unreachable, or named in ``quarantined``, do not count
+        towards its size: a small pool would otherwise look large enough although none
+        of its executors can take the waiting work.
         """
         self._largest_vm_cores_m = max(
             (item.entry.cores_m for item in pool), default=self._largest_vm_cores_m
@@ -45,7 +45,7 @@
         lasting_cores_m = sum(
             allocation.cores_m
             for item in pool
-            for allocation in item.holdings.values()
+            for allocation in item.allocations.values()
             if allocation.lasting
         )
         arriving_cores_m = self.demand.cores_m(service.name, now_ms)
@@ -58,12 +58,12 @@
         size = sum(
             item.listed
             and not item.entry.draining
-            and not item.silent
+            and not item.unreachable
             and item.name not in quarantined
             for item in pool
         )
         blocked = self._blocked_vms.get(service.name, 0)
         if blocked:
             needed = max(needed, size + blocked)
-        idle = tuple(item.name for item in pool if not item.holdings and item.open)
+        idle = tuple(item.name for item in pool if not item.allocations and item.open)
         return PoolLoad(service.name, needed, idle, size, service.standby)
--- a/src/cardamomgrade/jobs/placing.py
+++ b/src/cardamomgrade/jobs/placing.py
@@ -51,7 +51,7 @@
         rank = (
             executor.name in avoid,
             bool(wanted) and executor.entry.rack != wanted,
-            not executor.holdings,
+            not executor.allocations,
             -executor.free_fraction,
         )
         if best is None or rank < best_rank:
@@ -100,7 +100,7 @@
     entry = executor.entry
     capacities = [step.tasks]
     for used, size, need in (
-        (executor.cores_m, entry.cores_m, step.counted_cores_m),
+        (executor.cores_m, entry.cores_m, step.reserved_cores_m),
         (executor.memory_mb, entry.memory_mb, step.memory_mb),
         (executor.accelerators, entry.accelerators, step.accelerators),
     ):
--- a/src/cardamomgrade/jobs/progress.py
+++ b/src/cardamomgrade/jobs/progress.py
@@ -189,7 +189,7 @@
         """Return the expected core time of the unfinished tasks, in core-ms."""
         return sum(
             state.unfinished
-            * state.step.counted_cores_m
+            * state.step.reserved_cores_m
             * expected_ms(state.step)
             / 1000
             for state in self._steps.values()
--- a/src/cardamomgrade/jobs/reports.py
+++ b/src/cardamomgrade/jobs/reports.py
@@ -1,7 +1,7 @@
 """Types of the answers and reports that executors and the platform send.
 
-An executor's life, or instance, is the time from one start of it to its end; each has
-an id of its own, which the field ``executor`` holds.
+A restart of an executor is a new incarnation with a new id. The field ``executor``
+holds that id.
 """
 
 from enum import Enum, unique
@@ -30,8 +30,9 @@
     """Result of an order to an executor.
 
     ``TAKEN``: accepted; ``FENCED``: the executor has received a newer epoch;
-    ``WRONG_LIFE``: another instance answers at the address; ``NOT_DONE``: not carried
-    out, now or later; ``NO_ANSWER``: may have been carried out, or may still be.
+    ``WRONG_LIFE``: another incarnation answers at the address; ``NOT_DONE``: not
+    carried out, now or later; ``NO_ANSWER``: may have been carried out, or may still
+    be.
     """
 
     TAKEN = "taken"
@@ -58,7 +59,7 @@
 class RunningTask:
     """A run that an executor reports as running.
 
-    ``percent`` is its progress, 100 when a lasting task is at work. ``load`` is the
+    ``percent`` is its progress, 100 when a lasting task is ready. ``load`` is the
     tail of the response times in ms for a task that serves, and the thousandths of a
     core in use for any other.
     """
@@ -72,7 +73,7 @@
 
 @attrs.frozen
 class EndedTask:
-    """The end of a run; ``number`` counts the ends on one instance of an executor."""
+    """The end of a run; ``number`` counts the ends on one incarnation."""
 
     number: int
     task: str
@@ -120,8 +121,8 @@
 class ListedMachine:
     """A VM in the platform's list of VMs for executors.
 
-    ``executor`` is the id of the executor instance on it, or "". ``state`` is STATE_UP,
-    STATE_UPKEEP, or another text for a VM that is in neither state.
+    ``executor`` is the id of the executor's incarnation on it, or "". ``state`` is
+    STATE_UP, STATE_UPKEEP, or another text for a VM that is in neither state.
     """
 
     vm: str
--- a/src/cardamomgrade/jobs/scheduler.py
+++ b/src/cardamomgrade/jobs/scheduler.py
@@ -59,7 +59,11 @@
 
 
 class Scheduler:
-    """Unfinished jobs, known executors, and the assignment of tasks to executors."""
+    """Unfinished jobs, known executors, and the assignment of tasks to executors.
+
+    ``newly_used_executors`` holds the names of executors that got their first run in
+    this term, so that no earlier scheduler has runs there.
+    """
 
     def __init__(self, cfg):
         self.cfg = cfg
@@ -73,7 +77,7 @@
         self._services_to_plan = set()
         self._paused_until_ms = {}
         self._start_delays_ms = []
-        self.placed_here = set()
+        self.newly_used_executors = set()
         self.durations = Durations()
         self._pool_needs = PoolNeeds()
         self._health = Health(
@@ -133,7 +137,7 @@
         executor = self.executors.get(task.executor)
         step = job.spec.steps[task.id.step]
         if executor is not None:
-            executor.hold(str(task.id), task.run, step)
+            executor.allocate(str(task.id), task.run, step)
         else:
             runs = self._orphaned_runs.setdefault(task.executor, {})
             runs[str(task.id)] = (task.run, step)
@@ -179,7 +183,7 @@
             for name, job in dirty.items()
         ]
 
-    def take_waits(self):
+    def take_start_delays(self):
         """Return the start delays, in ms, of jobs first started since the last call."""
         delays_ms, self._start_delays_ms = self._start_delays_ms, []
         return delays_ms
@@ -211,7 +215,7 @@
             for name, (run, step) in self._orphaned_runs.pop(
                 entry.executor, {}
             ).items():
-                executor.hold(name, run, step)
+                executor.allocate(name, run, step)
             self._log_executor(entry)
         elif (executor.entry.draining, executor.listed) != (entry.draining, True):
             self._log_executor(entry)
@@ -233,7 +237,7 @@
             return
         executor.listed = False
         note(ExecutorSeen(name, executor.entry.service, "unlisted"))
-        if not executor.holdings:
+        if not executor.allocations:
             self.forget_executor(name)
 
     def forget_executor(self, name):
@@ -246,17 +250,17 @@
         """Return the executors of a service."""
         return list(self._pools.get(service, {}).values())
 
-    def lost_executors(self):
+    def unregistered_executors(self):
         """Return the names of unregistered executors that runs are assigned to."""
         return list(self._orphaned_runs)
 
     # Ends of runs
 
-    def lose_runs(self, name, now_ms):
-        """Mark all runs lapsed of an executor that is known to run nothing."""
+    def mark_runs_lapsed(self, name, now_ms):
+        """Mark all runs of an executor that is known to run nothing as lapsed."""
         executor = self.executors.get(name)
-        held = executor.holdings if executor is not None else {}
-        runs = {task: item.run for task, item in held.items()}
+        allocations = executor.allocations if executor is not None else {}
+        runs = {task: item.run for task, item in allocations.items()}
         runs.update(
             (task, run) for task, (run, _) in self._orphaned_runs.pop(name, {}).items()
         )
@@ -271,7 +275,9 @@
         them had ended before: its task then need not start again.
         """
         executor = self.executors.get(name)
-        allocation = executor.holdings.get(task_name) if executor is not None else None
+        allocation = (
+            executor.allocations.get(task_name) if executor is not None else None
+        )
         if allocation is not None and allocation.run == run:
             executor.release(task_name)
             self._services_to_plan.add(executor.entry.service)
@@ -326,7 +332,7 @@
         task = job.running_task(task_id, run) if job is not None else None
         return job, task
 
-    def is_live(self, start):
+    def is_valid_start(self, start):
         """Return whether a stored Start order is still valid."""
         job, task = self._find_run(start.task, start.run)
         known = start.executor in self.executors
@@ -348,12 +354,12 @@
 
     # Placement
 
-    def set_aside(self, name, until_ms):
+    def pause_executor(self, name, until_ms):
         """Place no runs on an executor until ``until_ms`` of the monotonic clock."""
         self._paused_until_ms[name] = until_ms
 
-    def reopen(self, name):
-        """Replan the service of an executor that accepts runs again."""
+    def replan_executor(self, name):
+        """Plan the service of an executor that accepts runs again."""
         executor = self.executors.get(name)
         if executor is not None:
             self._services_to_plan.add(executor.entry.service)
@@ -375,9 +381,9 @@
         ]
         for name in expired:
             del self._paused_until_ms[name]
-            self.reopen(name)
+            self.replan_executor(name)
         for name in self._health.due(now_ms):
-            self.reopen(name)
+            self.replan_executor(name)
         starts = []
         services, self._services_to_plan = self._services_to_plan, set()
         for service in services:
@@ -398,7 +404,7 @@
             item
             for item in self.pool(service)
             if item.open
-            and not self._health.is_aside(item.name)
+            and not self._health.is_quarantined(item.name)
             and item.name not in self._paused_until_ms
         ]
         ready.sort(key=lambda item: item[0])
@@ -410,7 +416,7 @@
                 place = self._place_gang if step.step.gang else self._place_tasks
                 starts.extend(place(job, step, executors, now_ms))
                 if rank_of(forecast) <= Rank.LATE:
-                    waiting_cores_m += step.waiting * step.step.counted_cores_m
+                    waiting_cores_m += step.waiting * step.step.reserved_cores_m
                 if step.waiting and any(item.fits(step.step) for item in executors):
                     blocked_vms += -(-step.waiting // (step.step.per_executor or 1))
             if job.begun and not begun:
@@ -443,7 +449,7 @@
         for service in self.cfg.services:
             pool = self.pool(service.name)
             quarantined = {
-                item.name for item in pool if self._health.is_aside(item.name)
+                item.name for item in pool if self._health.is_quarantined(item.name)
             }
             loads[service.name] = self._pool_needs.load(
                 service, pool, now_ms, quarantined
@@ -488,9 +494,9 @@
     def _start(self, job, task, run, executor, now_ms):
         name = str(task.id)
         task.placed_ms = now_ms
-        if not executor.holdings:
-            self.placed_here.add(executor.name)
-        executor.hold(name, run, job.spec.steps[task.id.step])
+        if not executor.allocations:
+            self.newly_used_executors.add(executor.name)
+        executor.allocate(name, run, job.spec.steps[task.id.step])
         free = executor.entry.cores_m - executor.cores_m
         note(TaskStarted(job.spec.job, name, run, executor.name, job.spec.queue, free))
         return Start(executor.name, name, run, job.spec.text, task.checkpoint)
--- a/src/cardamomgrade/jobs/spec.py
+++ b/src/cardamomgrade/jobs/spec.py
@@ -11,8 +11,8 @@
     task. ``after`` holds the indices of steps that must be done first. ``per_executor``
     limits the tasks of one occurrence on one executor; 0 means no limit. A ``lasting``
     step runs until its job is cancelled; ``may_miss`` is how many of its tasks may be
-    interrupted at once, or -1 when the step sets no such budget. The cores of a step
-    that ``fills`` do not count against the executor's capacity.
+    interrupted at once, or -1 when the step sets no such budget. The tasks of a
+    step that ``fills`` are fill tasks: they use idle cores, and none are reserved.
     """
 
     tasks: int
@@ -35,8 +35,8 @@
     may_miss: int = -1
 
     @property
-    def counted_cores_m(self):
-        """Thousandths of a core that one task takes of an executor's capacity."""
+    def reserved_cores_m(self):
+        """Thousandths of a core that are reserved for one task on an executor."""
         return 0 if self.fills else self.cores_m
 
 
--- a/src/cardamomgrade/jobs/upkeep.py
+++ b/src/cardamomgrade/jobs/upkeep.py
@@ -190,7 +190,7 @@
         executor = executors.get(machine.executor)
         if executor is None:
             return not machine.executor
-        finite = [item for item in executor.holdings.values() if not item.lasting]
+        finite = [item for item in executor.allocations.values() if not item.lasting]
         return (not finite or waited_s >= DRAIN_TIMEOUT_S) and reserve(executor)
 
     def _pick_draining(self, state, listed, executors, now, down):
@@ -216,7 +216,7 @@
 
         def rank(vm):
             executor = executors.get(listed[vm].executor)
-            runs = len(executor.holdings) if executor is not None else 0
+            runs = len(executor.allocations) if executor is not None else 0
             return (draining_by_pool.get(listed[vm].pool, 0), runs, vm)
 
         for _ in range(min(vacancies, len(waiting))):
--- a/src/cardamomgrade/jobs/vms.py
+++ b/src/cardamomgrade/jobs/vms.py
@@ -57,14 +57,14 @@
     ``on_executor_gone(executor)`` and ``depose(why)``.
     """
 
-    def __init__(self, loop, cfg, platform, term, view, parts, driver):
+    def __init__(self, loop, cfg, platform, term, view, deps, driver):
         self._loop = loop
         self._platform = platform
         self._view = view
         self._driver = driver
-        self._scheduler = parts.scheduler
-        self._writer = parts.writer
-        self._availability = parts.availability
+        self._scheduler = deps.scheduler
+        self._writer = deps.writer
+        self._availability = deps.availability
         self._epoch = term.epoch
         self._vm_lease_s = cfg.machine_lease_ms / MS + VM_LEASE_MARGIN_S
         self._started_at = loop.now()
@@ -218,7 +218,7 @@
 
     def _tasks_on(self, name):
         executor = self._scheduler.executors.get(name)
-        return set(executor.holdings) if executor is not None else set()
+        return set(executor.allocations) if executor is not None else set()
 
     def _order_upkeep(self, vm, wave, executor):
         self._upkeep_in_flight.add(vm)
--- a/src/cardamomgrade/placement.py
+++ b/src/cardamomgrade/placement.py
@@ -89,7 +89,7 @@
     def set_workers(self, workers):
         """Replace the list of Workers; only differences from the last are processed."""
         for capacity in self._allocations.set_workers(workers):
-            if self._health.is_aside(capacity.worker.name):
+            if self._health.is_quarantined(capacity.worker.name):
                 self._allocations.pool_of(capacity).block(capacity, Obstacle.SET_ASIDE)
             self._mark_dirty(capacity.worker.pool)
 
--- a/tests/jobs/availability.feature
+++ b/tests/jobs/availability.feature
@@ -8,11 +8,11 @@
     When the first task is ready on another executor
     Then the second executor may be taken down
 
-  Scenario: a task on a silent executor counts as unavailable
+  Scenario: a task on an executor that does not report counts as unavailable
     Given a lasting step of 3 tasks with a budget of 1, each on its own executor
     When all its tasks are ready
     And the third executor has not reported for 3 s
-    Then the first executor may not be taken down while the third one is silent
+    Then the first executor may not be taken down while the third one does not report
 
   Scenario: two tasks on one executor are stopped one at a time
     Given a lasting step of 2 tasks with a budget of 1, both on one executor
--- a/tests/jobs/scheduler.feature
+++ b/tests/jobs/scheduler.feature
@@ -73,9 +73,9 @@
     And its executor reports that run 1 of the first task ended failed
     Then the first task has 1 failure and starts again
 
-  Scenario: draining, unlisted, silent and cordoned executors get no new runs
+  Scenario: draining, unlisted, unreachable and cordoned executors get no new runs
     Given a pool of 5 executors with 4 cores each
-    When the first drains, the second is unlisted, the third is silent and the fourth is cordoned
+    When the first drains, the second is unlisted, the third is unreachable and the fourth is cordoned
     And a job with steps of 4 and 1 tasks of 1 core is added
     Then all tasks run on the fifth executor
 
@@ -127,7 +127,7 @@
 
     Examples:
       | state       |
-      | silent      |
+      | unreachable |
       | quarantined |
 
   Scenario: a lasting task shares a VM with another task of its step rather than wait
--- a/tests/steps/jobs_availability.py
+++ b/tests/steps/jobs_availability.py
@@ -22,7 +22,7 @@
         for index, name in enumerate(self.names):
             if not same_executor or not self.executors:
                 self.executors.append(Executor(executor_entry(f"e{index}", 4)))
-            self.executors[-1].hold(name, 1, self.step)
+            self.executors[-1].allocate(name, 1, self.step)
 
     def may_take_down(self, index):
         return self.state.reserve(self.executors[index], self.now)
--- a/tests/steps/jobs_scheduler.py
+++ b/tests/steps/jobs_scheduler.py
@@ -136,7 +136,7 @@
 def step_capacity(context):
     for executor in context.jobs.scheduler.executors.values():
         assert executor.cores_m <= executor.entry.cores_m
-        held = sum(item.cores_m for item in executor.holdings.values())
+        held = sum(item.cores_m for item in executor.allocations.values())
         assert held == executor.cores_m
 
 
@@ -205,7 +205,7 @@
         item for item in world.running if item.executor == world.running[0].executor
     ]
     world.scheduler.unlist_executor(world.lost[0].executor)
-    world.scheduler.lose_runs(world.lost[0].executor, world.now_ms)
+    world.scheduler.mark_runs_lapsed(world.lost[0].executor, world.now_ms)
 
 
 @then("its tasks start again elsewhere as run 2")
@@ -229,15 +229,15 @@
 
 
 @when(
-    "the first drains, the second is unlisted, the third is silent and the fourth is "
-    "cordoned"
+    "the first drains, the second is unlisted, the third is unreachable and the fourth "
+    "is cordoned"
 )
 def step_no_new_runs(context):
     world = context.jobs
     first = world.scheduler.executors[world.names[0]]
     world.scheduler.put_executor(attrs.evolve(first.entry, draining=True))
     world.scheduler.unlist_executor(world.names[1])
-    world.scheduler.executors[world.names[2]].silent = True
+    world.scheduler.executors[world.names[2]].unreachable = True
     world.scheduler.cordon({world.names[3]})
 
 
@@ -424,10 +424,10 @@
     assert attrs.astuple(task) == before
 
 
-@when("both executors are silent")
-def step_both_silent(context):
+@when("both executors are unreachable")
+def step_both_unreachable(context):
     for executor in context.jobs.scheduler.executors.values():
-        executor.silent = True
+        executor.unreachable = True
 
 
 @when("both executors are quarantined")
@@ -437,7 +437,7 @@
     for name in context.jobs.names:
         for job in ("j1", "j2"):
             scheduler._health.failed(name, "s", job, 2, context.jobs.now_ms)
-    assert all(map(scheduler._health.is_aside, context.jobs.names))
+    assert all(map(scheduler._health.is_quarantined, context.jobs.names))
 
 
 @then("the pool is short of VMs")
--- a/tests/steps/jobs_upkeep.py
+++ b/tests/steps/jobs_upkeep.py
@@ -66,7 +66,7 @@
 @when("a task runs on every VM")
 def step_busy(context):
     for executor in context.wave.executors.values():
-        executor.hold("t", 1, Step(1, cores_m=1000))
+        executor.allocate("t", 1, Step(1, cores_m=1000))
 
 
 @when("{seconds:g} s go by")
