--- a/src/cardamomgrade/jobs/availability.py
+++ b/src/cardamomgrade/jobs/availability.py
@@ -26,20 +26,20 @@
         self._ready_at = {}
         self._stopping = set()
 
-    def reported(self, name, percent, now):
+    def record_readiness(self, name, percent, now):
         """Record the readiness that an executor reported; return whether it is 100%."""
         if percent < READY_PERCENT:
             return False
         self._ready_at[name] = now
         return True
 
-    def ended(self, names):
+    def record_ended(self, names):
         """Record that the runs of tasks ended."""
         for name in names:
             self._ready_at.pop(name, None)
             self._stopping.discard(name)
 
-    def kept(self, names):
+    def cancel_reservation(self, names):
         """Undo ``reserve`` for tasks that were not stopped."""
         self._stopping.difference_update(names)
 
@@ -56,11 +56,11 @@
         self._stopping.update(executor.allocations)
         return True
 
-    def thin_out(self, executor, now):
-        """Return tasks to stop on an executor that holds more than a budget allows.
+    def select_excess_tasks(self, executor, now):
+        """Return tasks to stop on an executor that runs more than a budget allows.
 
         Returns at most one task per step, so that it can start elsewhere before the
-        next one is stopped.
+        next one is stopped. The returned tasks count as unavailable from now on.
         """
         stopped = []
         if now < self._settled_at:
--- a/src/cardamomgrade/jobs/driver.py
+++ b/src/cardamomgrade/jobs/driver.py
@@ -293,7 +293,7 @@
 
     def on_runs_ended(self, name, ends):
         """Record the EndedTask items that an executor reported."""
-        self._availability.ended(item.task for item in ends)
+        self._availability.record_ended(item.task for item in ends)
         for item in ends:
             self._metrics.count("run_ends", outcome=item.outcome.value)
             self._scheduler.end(
@@ -357,7 +357,7 @@
             if step is None:
                 continue
             if step.lasting:
-                ready = self._availability.reported(
+                ready = self._availability.record_readiness(
                     item.task, item.percent, self._loop.now()
                 )
                 starting = starting or not ready
--- a/src/cardamomgrade/jobs/pools.py
+++ b/src/cardamomgrade/jobs/pools.py
@@ -66,20 +66,20 @@
         self._idle_since = {}
         self._refused_at = {}
 
-    def ordered(self, move, now):
+    def record_ordered(self, move, now):
         """Record that a move was ordered."""
         self._joining[move.vm] = _Joining(move.pool, move.executor, now)
 
-    def refused(self, move, now):
+    def record_refused(self, move, now):
         """Record that a move was refused or not carried out."""
         self._joining.pop(move.vm, None)
         self._refused_at[move.vm, move.pool] = now
 
-    def plan(self, loads, listed, now, barred):
+    def plan(self, loads, listed, now, excluded):
         """Return the Moves to order now.
 
         ``loads`` maps a service to its PoolLoad and ``listed`` a VM to its
-        ListedMachine; ``barred`` are the VMs that must not move.
+        ListedVm; ``excluded`` are the VMs that must not move.
         """
         self._drop_joined(listed, now)
         self._update_idle(loads, now)
@@ -88,7 +88,7 @@
             for vm, machine in sorted(listed.items())
             if machine.state == STATE_UP
             and vm not in self._joining
-            and vm not in barred
+            and vm not in excluded
         ]
         spare = {load.service: load.spare_vms for load in loads.values()}
         moves = []
--- a/src/cardamomgrade/jobs/reports.py
+++ b/src/cardamomgrade/jobs/reports.py
@@ -118,7 +118,7 @@
 
 
 @attrs.frozen
-class ListedMachine:
+class ListedVm:
     """A VM in the platform's list of VMs for executors.
 
     ``executor`` is the id of the executor's incarnation on it, or "". ``state`` is
--- a/src/cardamomgrade/jobs/upkeep.py
+++ b/src/cardamomgrade/jobs/upkeep.py
@@ -33,7 +33,7 @@
     ``begun`` are the VMs whose upkeep is known to have begun, or that are gone.
     ``ordered`` maps a VM to its OrderedUpkeep, ``draining`` to the time since when it
     gets no new runs, and ``unlisted_since`` to the time since when the platform does
-    not list it. An earlier order for a VM in ``doubtful`` may have been carried out,
+    not list it. An earlier order for a VM in ``unconfirmed`` may have been carried out,
     so a later order answered as done does not prove that the current incarnation ended.
     """
 
@@ -43,9 +43,9 @@
     ordered: dict = attrs.field(factory=dict)
     draining: dict = attrs.field(factory=dict)
     unlisted_since: dict = attrs.field(factory=dict)
-    doubtful: set = attrs.field(factory=set)
+    unconfirmed: set = attrs.field(factory=set)
 
-    def left(self):
+    def pending_vms(self):
         """Return the VMs whose upkeep is not known to have begun."""
         return [vm for vm in self.request.vms if vm not in self.begun]
 
@@ -81,7 +81,7 @@
         if request.wave not in self.waves:
             self.waves[request.wave] = WaveState(request, now)
 
-    def begun(self, wave, vm):
+    def record_begun(self, wave, vm):
         """Record that the upkeep of a VM is known to have begun."""
         state = self.waves.get(wave)
         if state is not None:
@@ -97,12 +97,12 @@
         state = self.waves[wave]
         state.ordered[vm] = order
         if begun:
-            self.begun(wave, vm)
+            self.record_begun(wave, vm)
         else:
-            state.doubtful.add(vm)
+            state.unconfirmed.add(vm)
 
-    def look(self, listed, now):
-        """Apply a reading of the platform's VM list; return the upkeeps that began.
+    def apply_vm_list(self, listed, now):
+        """Apply the platform's VM list as just read; return the upkeeps that began.
 
         Rows are (wave, vm, executor), the latter being the incarnation that the order
         was to end. A VM that is unlisted for UNLISTED_TIMEOUT_S is gone. A new
@@ -116,51 +116,57 @@
                 if machine is None or vm in state.begun:
                     continue
                 if machine.state == STATE_UPKEEP:
-                    self.begun(wave, vm)
+                    self.record_begun(wave, vm)
                     begun_upkeeps.append((wave, vm, order.executor))
                 elif machine.executor not in ("", order.executor):
                     del state.ordered[vm]
-                    state.doubtful.add(vm)
-            unlisted = {vm for vm in state.left() if vm not in listed}
+                    state.unconfirmed.add(vm)
+            unlisted = {vm for vm in state.pending_vms() if vm not in listed}
             state.unlisted_since = {
                 vm: state.unlisted_since.get(vm, now) for vm in unlisted
             }
             for vm, since in state.unlisted_since.items():
                 if now - since >= UNLISTED_TIMEOUT_S:
-                    self.begun(wave, vm)
+                    self.record_begun(wave, vm)
         return begun_upkeeps
 
     def is_complete(self, wave):
         """Return whether the upkeep of every VM of a wave has begun."""
-        return not self.waves[wave].left()
+        return not self.waves[wave].pending_vms()
 
-    def plan(self, listed, executors, now, reserve, barred=frozenset()):
+    def plan(self, listed, executors, now, reserve, excluded=frozenset()):
         """Return the UpkeepPlan.
 
-        ``listed`` maps a VM to its ListedMachine, ``executors`` an executor id to its
+        ``listed`` maps a VM to its ListedVm, ``executors`` an executor id to its
         Executor. ``reserve(executor)`` counts the tasks of an executor as unavailable,
         or returns False if an availability budget does not allow it. The upkeep of VMs
-        in ``barred`` is not ordered now, but they count as down if they are.
+        in ``excluded`` is not ordered now; those that are down still count towards the
+        wave's ``at_once``.
         """
         cordoned, orders = set(), []
         for wave, state in self.waves.items():
-            if state.left():
-                found = self._plan_wave(state, listed, executors, now, reserve, barred)
+            if state.pending_vms():
+                found = self._plan_wave(
+                    state, listed, executors, now, reserve, excluded
+                )
                 cordoned.update(found.cordoned)
                 orders.extend((vm, wave, executor) for vm, executor in found.orders)
         staying = {
-            vm for state in self.waves.values() if state.left() for vm in state.draining
+            vm
+            for state in self.waves.values()
+            if state.pending_vms()
+            for vm in state.draining
         }
         return UpkeepPlan(frozenset(cordoned), frozenset(staying), tuple(orders))
 
-    def _plan_wave(self, state, listed, executors, now, reserve, barred):
+    def _plan_wave(self, state, listed, executors, now, reserve, excluded):
         down = self._down(state, listed, now)
         self._pick_draining(state, listed, executors, now, down)
         free = state.request.at_once - len(down)
         cordoned, orders = set(), []
         for vm, since in sorted(state.draining.items(), key=lambda pair: pair[1]):
             machine = listed.get(vm)
-            if machine is None or machine.state != STATE_UP or vm in barred:
+            if machine is None or machine.state != STATE_UP or vm in excluded:
                 continue
             if machine.executor:
                 cordoned.add(machine.executor)
@@ -200,7 +206,7 @@
             return
         waiting = [
             vm
-            for vm in state.left()
+            for vm in state.pending_vms()
             if vm not in state.draining
             and vm not in down
             and vm in listed
--- a/src/cardamomgrade/jobs/vms.py
+++ b/src/cardamomgrade/jobs/vms.py
@@ -112,7 +112,9 @@
     def _plan_vms(self):
         now = self._loop.now()
         if self._vms_by_name:
-            for wave, vm, executor in self._upkeep.look(self._vms_by_name, now):
+            for wave, vm, executor in self._upkeep.apply_vm_list(
+                self._vms_by_name, now
+            ):
                 self._store_begun(wave, vm, executor)
         for wave, state in self._upkeep.waves.items():
             self._announce(wave, state)
@@ -126,7 +128,7 @@
         for name in plan.cordoned:
             executor = self._scheduler.executors.get(name)
             if executor is not None:
-                for task in self._availability.thin_out(executor, now):
+                for task in self._availability.select_excess_tasks(executor, now):
                     self._scheduler.stop_run(task)
         ending = self._plan_moves(now, plan.vms)
         self._scheduler.cordon(plan.cordoned | ending)
@@ -145,7 +147,7 @@
         if (wave, completed) in self._announced:
             return
         name = "completed" if completed else "running"
-        note(WaveChanged(wave, name, len(state.request.vms), len(state.left())))
+        note(WaveChanged(wave, name, len(state.request.vms), len(state.pending_vms())))
         self._announced.add((wave, completed))
 
         def done(result):
@@ -185,7 +187,7 @@
         excluded = wave_vms | self._upkeep_in_flight | self._locked_vms()
         loads = self._scheduler.pool_loads(now * MS)
         for move in self._pools.plan(loads, self._vms_by_name, now, excluded):
-            self._pools.ordered(move, now)
+            self._pools.record_ordered(move, now)
             if move.executor:
                 self._ending_by_move[move.vm] = move.executor
             self._order_move(move)
@@ -205,7 +207,7 @@
             elif result is VmOrderResult.FENCED:
                 self._driver.depose("the platform has received a newer epoch")
             else:
-                self._pools.refused(move, self._loop.now())
+                self._pools.record_refused(move, self._loop.now())
 
         def stored():
             self._machines.move(move.vm, move.pool, answered)
@@ -230,22 +232,22 @@
         def answered(result):
             self._upkeep_in_flight.discard(vm)
             if result is VmOrderResult.DONE:
-                self._availability.ended(tasks)
+                self._availability.record_ended(tasks)
             else:
-                self._availability.kept(tasks)
+                self._availability.cancel_reservation(tasks)
             if self._closed:
                 return
             note(UpkeepOrdered(vm, wave, executor, result.value))
             if result is VmOrderResult.DONE:
-                self._upkeep.begun(wave, vm)
+                self._upkeep.record_begun(wave, vm)
                 self._store_begun(wave, vm, executor)
                 self._announce(wave, state)
-                if vm not in state.doubtful:
+                if vm not in state.unconfirmed:
                     self._driver.on_executor_gone(executor)
             elif result in (VmOrderResult.BUSY, VmOrderResult.NOT_DONE):
                 state.ordered.pop(vm, None)
             elif result is VmOrderResult.NO_ANSWER:
-                state.doubtful.add(vm)
+                state.unconfirmed.add(vm)
             elif result is VmOrderResult.FENCED:
                 self._driver.depose("the platform has received a newer epoch")
 
--- a/src/cardamomgrade/platform/machines.py
+++ b/src/cardamomgrade/platform/machines.py
@@ -3,7 +3,7 @@
 import json
 
 from ..client import Failure, Requester
-from ..jobs.reports import ListedMachine, VmOrderResult
+from ..jobs.reports import ListedVm, VmOrderResult
 from ..refusal import Reason, Refusal
 from ..wire import HttpRequest
 
@@ -19,9 +19,7 @@
 def _decode_page(body):
     fields = json.loads(body)
     vms = [
-        ListedMachine(
-            item["machine"], item["pool"], item["state"], item.get("id") or ""
-        )
+        ListedVm(item["machine"], item["pool"], item["state"], item.get("id") or "")
         for item in fields["machines"]
     ]
     return vms, fields.get("nextToken")
@@ -45,7 +43,7 @@
         self._requester.close()
 
     def list_vms(self, on_done):
-        """Call ``on_done`` with a tuple of ListedMachine, or a Refusal."""
+        """Call ``on_done`` with a tuple of ListedVm, or a Refusal."""
         self._fetch_page("", [], on_done)
 
     def _fetch_page(self, token, vms, on_done):
--- a/tests/steps/jobs_availability.py
+++ b/tests/steps/jobs_availability.py
@@ -47,9 +47,9 @@
 @when("all its tasks are ready")
 def step_ready(context):
     world = context.lasting
-    assert not world.state.reported(world.names[0], 99, world.now)
+    assert not world.state.record_readiness(world.names[0], 99, world.now)
     for name in world.names:
-        assert world.state.reported(name, 100, world.now)
+        assert world.state.record_readiness(name, 100, world.now)
 
 
 @then("the {place} executor may be taken down")
@@ -65,8 +65,8 @@
 @when("the first task is ready on another executor")
 def step_ready_elsewhere(context):
     world = context.lasting
-    world.state.ended([world.names[0]])
-    world.state.reported(world.names[0], 100, world.now)
+    world.state.record_ended([world.names[0]])
+    world.state.record_readiness(world.names[0], 100, world.now)
 
 
 @when("the third executor has not reported for {seconds:d} s")
@@ -74,14 +74,16 @@
     world = context.lasting
     world.now += seconds
     for name in world.names[:2]:
-        world.state.reported(name, 100, world.now)
+        world.state.record_readiness(name, 100, world.now)
 
 
 @then("one of its tasks is stopped first")
 def step_one_stopped(context):
     world = context.lasting
-    assert world.state.thin_out(world.executors[0], world.now) == [world.names[0]]
-    assert world.state.thin_out(world.executors[0], world.now) == []
+    assert world.state.select_excess_tasks(world.executors[0], world.now) == [
+        world.names[0]
+    ]
+    assert world.state.select_excess_tasks(world.executors[0], world.now) == []
 
 
 @when("another scheduler started {seconds:g} s ago")
@@ -95,4 +97,4 @@
 @then("none of its tasks is stopped yet")
 def step_none_stopped(context):
     world = context.lasting
-    assert world.state.thin_out(world.executors[0], world.now) == []
+    assert world.state.select_excess_tasks(world.executors[0], world.now) == []
--- a/tests/steps/jobs_pools.py
+++ b/tests/steps/jobs_pools.py
@@ -4,7 +4,7 @@
 
 from cardamomgrade.jobs.demand import Demand
 from cardamomgrade.jobs.pools import PoolLoad, PoolPlanner
-from cardamomgrade.jobs.reports import ListedMachine
+from cardamomgrade.jobs.reports import ListedVm
 
 
 class PoolFixture:
@@ -13,7 +13,7 @@
     def __init__(self, sizes, needs, off):
         self.planner = PoolPlanner()
         self.now = 0.0
-        self.barred = set()
+        self.excluded = set()
         self.listed = {}
         self.loads = {"off": PoolLoad("off", 0, (), 0, True)}
         for name, size in sizes.items():
@@ -21,13 +21,13 @@
             self.loads[name] = PoolLoad(name, needs[name], idle, size, False)
             for executor in idle:
                 vm = executor.replace("i-", "m-")
-                self.listed[vm] = ListedMachine(vm, name, "up", executor)
+                self.listed[vm] = ListedVm(vm, name, "up", executor)
         for number in range(off):
             vm = f"m-off{number}"
-            self.listed[vm] = ListedMachine(vm, "off", "up", "")
+            self.listed[vm] = ListedVm(vm, "off", "up", "")
 
     def plan(self):
-        return self.planner.plan(self.loads, self.listed, self.now, self.barred)
+        return self.planner.plan(self.loads, self.listed, self.now, self.excluded)
 
 
 @given(
@@ -50,13 +50,13 @@
 @when("the moves are ordered")
 def step_ordered(context):
     for move in context.pools.plan():
-        context.pools.planner.ordered(move, context.pools.now)
+        context.pools.planner.record_ordered(move, context.pools.now)
 
 
 @when("the moves are refused")
 def step_refused(context):
     for move in context.pools.plan():
-        context.pools.planner.refused(move, context.pools.now)
+        context.pools.planner.record_refused(move, context.pools.now)
 
 
 @then("no more moves are planned")
@@ -88,7 +88,7 @@
 
 @when("the VM that is off is due for upkeep")
 def step_due(context):
-    context.pools.barred.add("m-off0")
+    context.pools.excluded.add("m-off0")
 
 
 @given("work of {work:d} core-seconds arrives in each of {steps:d} steps of 250 ms")
--- a/tests/steps/jobs_upkeep.py
+++ b/tests/steps/jobs_upkeep.py
@@ -4,7 +4,7 @@
 from jobs_scheduler import executor_entry
 
 from cardamomgrade.jobs.executors import Executor
-from cardamomgrade.jobs.reports import ListedMachine, WaveRequest
+from cardamomgrade.jobs.reports import ListedVm, WaveRequest
 from cardamomgrade.jobs.spec import Step
 from cardamomgrade.jobs.upkeep import OrderedUpkeep, UpkeepPlanner
 
@@ -18,18 +18,18 @@
         self.planner = UpkeepPlanner(UPKEEP_S)
         self.now = 0.0
         self.allowed = True
-        self.barred = frozenset()
+        self.excluded = frozenset()
         self.ordered = []
         names = tuple(f"m{number}" for number in range(vms))
         self.executors = {f"i-{vm}": Executor(executor_entry(vm, 4)) for vm in names}
-        self.listed = {vm: ListedMachine(vm, "s", "up", f"i-{vm}") for vm in names}
+        self.listed = {vm: ListedVm(vm, "s", "up", f"i-{vm}") for vm in names}
         self.planner.add(WaveRequest(1, names, 20.0, at_once), 0.0)
 
     def restart(self, vms):
         """List VMs in a pool with new incarnations of their executors."""
         for vm in vms:
             new = f"i-{vm}-2"
-            self.listed[vm] = ListedMachine(vm, "s", "up", new)
+            self.listed[vm] = ListedVm(vm, "s", "up", new)
             self.executors[new] = Executor(executor_entry(new, 4))
 
     def step(self):
@@ -38,12 +38,12 @@
             self.executors,
             self.now,
             lambda executor: self.allowed,
-            self.barred,
+            self.excluded,
         )
         state = self.planner.waves[1]
         for vm, wave, executor in self.plan.orders:
             state.ordered[vm] = OrderedUpkeep(executor, self.now)
-            self.planner.begun(wave, vm)
+            self.planner.record_begun(wave, vm)
             self.ordered.append(vm)
 
 
@@ -55,7 +55,7 @@
 @given("all VMs are off")
 def step_off(context):
     world = context.wave
-    world.listed = {vm: ListedMachine(vm, "off", "up", "") for vm in world.listed}
+    world.listed = {vm: ListedVm(vm, "off", "up", "") for vm in world.listed}
 
 
 @when("upkeeps are planned and ordered")
@@ -96,12 +96,12 @@
 
 
 @when("this scheduler may not order the upkeep of those VMs")
-def step_barred(context):
-    context.wave.barred = frozenset(context.wave.ordered)
+def step_excluded(context):
+    context.wave.excluded = frozenset(context.wave.ordered)
 
 
 def apply_vm_list(world):
-    world.planner.look(world.listed, world.now)
+    world.planner.apply_vm_list(world.listed, world.now)
 
 
 @when("the VM list omits {vm}")
@@ -154,10 +154,10 @@
 @when("the VM list shows every VM in upkeep")
 def step_in_upkeep(context):
     world = context.wave
-    world.listed = {vm: ListedMachine(vm, "s", "upkeep", "") for vm in world.listed}
+    world.listed = {vm: ListedVm(vm, "s", "upkeep", "") for vm in world.listed}
 
 
 @then("that order does not prove that their incarnations ended")
-def step_doubtful(context):
+def step_unconfirmed(context):
     world = context.wave
-    assert world.planner.waves[1].doubtful == set(world.ordered)
+    assert world.planner.waves[1].unconfirmed == set(world.ordered)
