--- a/src/cardamomgrade/emulator/executor.py
+++ b/src/cardamomgrade/emulator/executor.py
@@ -93,8 +93,8 @@
             self._end(current, STOPPED)
         return ""
 
-    def hold(self, deadline_ms, seen, token, now_ms):
-        """Renew the lease and drop ends up to number ``seen``.
+    def renew(self, deadline_ms, stored_end, token, now_ms):
+        """Renew the lease and drop ends up to number ``stored_end``.
 
         Returns "" or the reason for refusing the call.
         """
@@ -103,7 +103,7 @@
             return "fence"
         if deadline_ms is not None:
             self.deadline_ms = max(self.deadline_ms, deadline_ms)
-        self.ends = [item for item in self.ends if item[0] > seen]
+        self.ends = [item for item in self.ends if item[0] > stored_end]
         return ""
 
     def rows(self):
--- a/src/cardamomgrade/emulator/server.py
+++ b/src/cardamomgrade/emulator/server.py
@@ -214,7 +214,7 @@
             return
         deadline = fields.get("deadlineMs") if first else None
         executor = instance.executor
-        reason = executor.hold(
+        reason = executor.renew(
             deadline, fields["ackIndex"], fields["fencingToken"], self.now_ms()
         )
         if not reason and not executor.ends and self.loop.now() < end_s:
--- a/src/cardamomgrade/jobs/agent.py
+++ b/src/cardamomgrade/jobs/agent.py
@@ -316,7 +316,7 @@
             elif answer.result is OrderResult.FENCED:
                 self._driver.on_fenced(self.name)
             elif answer.result is OrderResult.TAKEN:
-                self._settle_start(task, run)
+                self._mark_accepted(task, run)
                 repeat()
             else:
                 repeat()
@@ -328,7 +328,7 @@
         self._client.stop(_RunId(task, run), done)
         self.renew_if_needed()
 
-    def _settle_start(self, task, run):
+    def _mark_accepted(self, task, run):
         """Treat a start without an answer as accepted, after its stop was accepted.
 
         The executor refuses the start from now on if it has not arrived yet.
--- a/src/cardamomgrade/jobs/calls.py
+++ b/src/cardamomgrade/jobs/calls.py
@@ -1,4 +1,4 @@
-"""Callers' calls on jobs and their answers, independent of the wire format."""
+"""Requests of callers on jobs and their answers, independent of the wire format."""
 
 from enum import Enum, unique
 
--- a/src/cardamomgrade/jobs/driver.py
+++ b/src/cardamomgrade/jobs/driver.py
@@ -156,9 +156,9 @@
             "runs": sum(len(item.allocations) for item in executors),
         }
 
-    def read_back(self, term):
+    def on_term_read(self, term):
         """Acknowledge the append whose term record was read in the topic."""
-        self._writer.read_back(term.beat)
+        self._writer.on_term_read(term.beat)
 
     def set_config(self, queue_cfg):
         """Apply a new QueueConfig."""
--- a/src/cardamomgrade/jobs/node.py
+++ b/src/cardamomgrade/jobs/node.py
@@ -16,10 +16,10 @@
 from .entry import AppendBatcher, JobEntry, unavailable
 from .follow import TopicFollower
 from .records import encode, KEY_TERM
-from .store import Appended, AppendFate, WriterMark
+from .store import Appended, AppendFate, WriterPosition
 from .term import is_small, RESIGNED_JITTER_S, Term
 from .view import JobView
-from .writer import first_term, WRITER_NAME
+from .writer import candidate_record, WRITER_NAME
 
 FOLLOWER_PAUSE_S = 0.2  # job states shown by a follower may lag by this much
 SCHEDULER_PAUSE_S = 0.03  # part of the one second within which a task should start
@@ -317,7 +317,7 @@
                 self._start_driver(record)
         elif own:
             if self._driver is not None:
-                self._driver.read_back(record)
+                self._driver.on_term_read(record)
         elif (
             self._candidate_epoch is not None and record.epoch >= self._candidate_epoch
         ):
@@ -356,17 +356,17 @@
             self._start_candidacy()
 
     def _start_candidacy(self):
-        record = first_term(self._term, self._cfg.node, self._incarnation)
+        record = candidate_record(self._term, self._cfg.node, self._incarnation)
         self._term.transition(
             "stood", f"no live scheduler at offset {self._follower.next_offset}"
         )
         self._candidate_epoch = record.epoch
         self._follower.pause_s = SCHEDULER_PAUSE_S
-        mark = WriterMark(WRITER_NAME, record.epoch, record.beat)
+        position = WriterPosition(WRITER_NAME, record.epoch, record.beat)
 
         def done(result):
-            refused = not isinstance(result, Appended)
-            if not refused or self._candidate_epoch != record.epoch:
+            failed = not isinstance(result, Appended)
+            if not failed or self._candidate_epoch != record.epoch:
                 return
             if result.fate is AppendFate.MOVED_ON:
                 self._candidate_epoch = None
@@ -383,7 +383,7 @@
             done,
             CANDIDACY_TIMEOUT_S,
             at=self._follower.next_offset,
-            writer=mark,
+            writer=position,
         )
         # A node is elected only by reading its own record back, whatever the answer.
         self._loop.call_later(2 * CANDIDACY_TIMEOUT_S, expire)
--- a/src/cardamomgrade/jobs/records.py
+++ b/src/cardamomgrade/jobs/records.py
@@ -49,7 +49,7 @@
 
 @unique
 class Phase(IntEnum):
-    """State of a task's newest run."""
+    """State of a task's latest run."""
 
     WAITING = 0
     PLACED = 1
@@ -59,7 +59,7 @@
 
 @attrs.frozen
 class TaskRecord:
-    """One task that was started at least once; ``run`` is its newest run."""
+    """One task that was started at least once; ``run`` is its latest run."""
 
     occurrence: int
     step: int
--- a/src/cardamomgrade/jobs/store.py
+++ b/src/cardamomgrade/jobs/store.py
@@ -29,7 +29,7 @@
 
 
 @attrs.frozen
-class WriterMark:
+class WriterPosition:
     """A writer's name and epoch and the number of its append, checked by the store."""
 
     name: str
--- a/src/cardamomgrade/jobs/summary.py
+++ b/src/cardamomgrade/jobs/summary.py
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class TaskSummary:
-    """The newest run of a task that was started at least once."""
+    """The latest run of a task that was started at least once."""
 
     task: str
     run: int
--- a/src/cardamomgrade/jobs/term.py
+++ b/src/cardamomgrade/jobs/term.py
@@ -80,7 +80,7 @@
         self._restart_timer(now)
 
     def on_store_unreachable(self):
-        """Discard the wait: without reads, missing term records prove nothing."""
+        """Stop the timer: without reads, missing term records prove nothing."""
         self._timer_started_at = None
 
     def _restart_timer(self, now):
--- a/src/cardamomgrade/jobs/writer.py
+++ b/src/cardamomgrade/jobs/writer.py
@@ -11,7 +11,7 @@
 
 from ..journal import event, note
 from .records import encode, KEY_TERM, TermRecord
-from .store import Appended, AppendFate, WriterMark
+from .store import Appended, AppendFate, WriterPosition
 from .term import BEAT_S
 
 WRITER_NAME = "scheduler"
@@ -117,12 +117,12 @@
         if self._closed:
             return
         batch = self._batch
-        position = WriterMark(WRITER_NAME, self._epoch, batch.sequence)
+        position = WriterPosition(WRITER_NAME, self._epoch, batch.sequence)
         self._client.append(
             batch.items, self._on_answer, APPEND_TIMEOUT_S, writer=position
         )
 
-    def read_back(self, sequence):
+    def on_term_read(self, sequence):
         """Acknowledge the append in flight if its term record was read in the topic."""
         if self._batch is not None and self._batch.sequence == sequence:
             self._client.cancel_append()
@@ -157,7 +157,7 @@
             self._send()
 
 
-def first_term(term, node, incarnation):
+def candidate_record(term, node, incarnation):
     """Return the TermRecord that a candidate for scheduler appends.
 
     Its first number is random: the store takes an append with the same epoch and number
--- a/src/cardamomgrade/platform/executor.py
+++ b/src/cardamomgrade/platform/executor.py
@@ -81,7 +81,7 @@
 
 
 class ExecutorClient:
-    """Calls to one instance of an executor, fenced by the epoch of one scheduler.
+    """Calls to one incarnation of an executor, fenced by the epoch of one scheduler.
 
     The executor refuses calls with an epoch older than the newest it has received.
     """
--- a/src/cardamomgrade/platform/store.py
+++ b/src/cardamomgrade/platform/store.py
@@ -111,7 +111,7 @@
         """Append (key, value) pairs; call ``on_done(Appended | AppendFailed)``.
 
         ``timeout`` is in seconds. The append fails unless the topic ends at the offset
-        ``at``, if given; ``writer`` is a WriterMark, or None to append unnumbered.
+        ``at``, if given; ``writer`` is a WriterPosition, or None to append unnumbered.
         """
         options = {}
         if writer is not None:
