--- a/scripts/fleet_simulation.py
+++ b/scripts/fleet_simulation.py
@@ -10,7 +10,7 @@
 import random
 
 from cardamomgrade.estimate import Usage
-from cardamomgrade.orders import Action, TaskCurbed
+from cardamomgrade.placement_events import Action, TaskCurbed
 from cardamomgrade.records import (
     Logged,
     TaskCancelled,
--- a/src/cardamomgrade/placement.py
+++ b/src/cardamomgrade/placement.py
@@ -14,7 +14,7 @@
 from .allocations import Allocations
 from .estimate import Estimator, Size
 from .health import Health
-from .orders import (
+from .placement_events import (
     Action,
     Decisions,
     LeaseLapsed,
--- a/src/cardamomgrade/preempt.py
+++ b/src/cardamomgrade/preempt.py
@@ -3,7 +3,7 @@
 import attrs
 
 from .estimate import Size
-from .orders import Action, Obstacle
+from .placement_events import Action, Obstacle
 
 URGENT_START_MS = 2100
 STOP_ALLOWANCE_MS = 900
--- a/src/cardamomgrade/room.py
+++ b/src/cardamomgrade/room.py
@@ -11,7 +11,7 @@
 import attrs
 
 from .estimate import Size
-from .orders import Obstacle, SkippedCount
+from .placement_events import Obstacle, SkippedCount
 
 EXAMINED_PER_BUCKET_MAX = 8
 EXAMINED_MAX = 24
--- a/tests/steps/placement.py
+++ b/tests/steps/placement.py
@@ -5,7 +5,8 @@
 
 from cardamomgrade.allocations import Quota
 from cardamomgrade.estimate import Usage
-from cardamomgrade.orders import (
+from cardamomgrade.placement import Placer
+from cardamomgrade.placement_events import (
     Action,
     Obstacle,
     TaskCurbed,
@@ -15,7 +16,6 @@
     WorkerSetAside,
     WorkerTried,
 )
-from cardamomgrade.placement import Placer
 from cardamomgrade.records import (
     Logged,
     TaskCancelled,
