--- a/src/cardamomgrade/platform/adapter.py
+++ b/src/cardamomgrade/platform/adapter.py
@@ -51,7 +51,7 @@
         return self._topic(TOPIC_STATUS)
 
     def executor(self, entry, epoch):
-        """Return a client of one instance of an executor."""
+        """Return a client of one incarnation of an executor."""
         return ExecutorClient(self._loop, self._net, entry, epoch)
 
     def machines(self, epoch):
--- a/tests/jobs/scheduler.feature
+++ b/tests/jobs/scheduler.feature
@@ -41,7 +41,7 @@
     Then 2 stops are ordered
     And the plan starts 0 tasks
 
-  Scenario: the runs of a lost executor start again with a higher number
+  Scenario: the runs of an executor that is gone start again with a higher number
     Given a pool of 2 executors with 4 cores each
     When a job with steps of 4 and 1 tasks of 1 core is added
     Then the plan starts 4 tasks
--- a/tests/steps/jobs_scheduler.py
+++ b/tests/steps/jobs_scheduler.py
@@ -199,29 +199,29 @@
 
 
 @when("the executor of the first task is known to run nothing")
-def step_lost(context):
+def step_executor_gone(context):
     world = context.jobs
-    world.lost = [
+    world.lapsed = [
         item for item in world.running if item.executor == world.running[0].executor
     ]
-    world.scheduler.unlist_executor(world.lost[0].executor)
-    world.scheduler.mark_runs_lapsed(world.lost[0].executor, world.now_ms)
+    world.scheduler.unlist_executor(world.lapsed[0].executor)
+    world.scheduler.mark_runs_lapsed(world.lapsed[0].executor, world.now_ms)
 
 
 @then("its tasks start again elsewhere as run 2")
 def step_restarted(context):
     world = context.jobs
     starts = world.plan()
-    assert {item.task for item in starts} == {item.task for item in world.lost}
+    assert {item.task for item in starts} == {item.task for item in world.lapsed}
     assert all(
-        item.run == 2 and item.executor != world.lost[0].executor for item in starts
+        item.run == 2 and item.executor != world.lapsed[0].executor for item in starts
     )
 
 
 @then("a late end of run 1 changes nothing")
 def step_late_end(context):
     world = context.jobs
-    late = world.lost[0]
+    late = world.lapsed[0]
     accepted = world.scheduler.end(
         late.executor, late.task, 1, Outcome.DONE, "", world.now_ms
     )
