--- a/src/cardamomgrade/jobs/availability.py
+++ b/src/cardamomgrade/jobs/availability.py
@@ -9,7 +9,7 @@
 """
 
 READY_PERCENT = 100
-REPORT_TIMEOUT_S = 2.0  # two lease renewals; a silent executor may be lost
+REPORT_TIMEOUT_S = 2.0  # two lease renewals; an executor that misses them may be gone
 
 
 class Availability:
@@ -26,20 +26,20 @@
         self._ready_at = {}
         self._stopping = set()
 
-    def reported(self, name, percent, now):
+    def record_readiness(self, name, percent, now):
         """Record the readiness that an executor reported; return whether it is 100%."""
         if percent < READY_PERCENT:
             return False
         self._ready_at[name] = now
         return True
 
-    def ended(self, names):
+    def record_ended(self, names):
         """Record that the runs of tasks ended."""
         for name in names:
             self._ready_at.pop(name, None)
             self._stopping.discard(name)
 
-    def kept(self, names):
+    def cancel_reservation(self, names):
         """Undo ``reserve`` for tasks that were not stopped."""
         self._stopping.difference_update(names)
 
@@ -53,14 +53,14 @@
                 return False
             if self._count_unavailable(names, step, now) + len(names) > step.may_miss:
                 return False
-        self._stopping.update(executor.holdings)
+        self._stopping.update(executor.allocations)
         return True
 
-    def thin_out(self, executor, now):
-        """Return tasks to stop on an executor that holds more than a budget allows.
+    def select_excess_tasks(self, executor, now):
+        """Return tasks to stop on an executor that runs more than a budget allows.
 
         Returns at most one task per step, so that it can start elsewhere before the
-        next one is stopped.
+        next one is stopped. The returned tasks count as unavailable from now on.
         """
         stopped = []
         if now < self._settled_at:
@@ -78,7 +78,7 @@
     def _budgeted_tasks(self, executor, now):
         """Return (names, step) of budgeted steps with ready tasks on an executor."""
         by_step = {}
-        for name in executor.holdings:
+        for name in executor.allocations:
             step = self._step_of(name)
             if step is not None and step.lasting and step.may_miss >= 0:
                 by_step.setdefault(name.rpartition(".")[0], []).append(name)
--- a/tests/steps/jobs_scheduler.py
+++ b/tests/steps/jobs_scheduler.py
@@ -136,7 +136,7 @@
 def step_capacity(context):
     for executor in context.jobs.scheduler.executors.values():
         assert executor.cores_m <= executor.entry.cores_m
-        held = sum(item.cores_m for item in executor.holdings.values())
+        held = sum(item.cores_m for item in executor.allocations.values())
         assert held == executor.cores_m
 
 
@@ -199,29 +199,29 @@
 
 
 @when("the executor of the first task is known to run nothing")
-def step_lost(context):
+def step_executor_gone(context):
     world = context.jobs
-    world.lost = [
+    world.lapsed = [
         item for item in world.running if item.executor == world.running[0].executor
     ]
-    world.scheduler.unlist_executor(world.lost[0].executor)
-    world.scheduler.lose_runs(world.lost[0].executor, world.now_ms)
+    world.scheduler.unlist_executor(world.lapsed[0].executor)
+    world.scheduler.mark_runs_lapsed(world.lapsed[0].executor, world.now_ms)
 
 
 @then("its tasks start again elsewhere as run 2")
 def step_restarted(context):
     world = context.jobs
     starts = world.plan()
-    assert {item.task for item in starts} == {item.task for item in world.lost}
+    assert {item.task for item in starts} == {item.task for item in world.lapsed}
     assert all(
-        item.run == 2 and item.executor != world.lost[0].executor for item in starts
+        item.run == 2 and item.executor != world.lapsed[0].executor for item in starts
     )
 
 
 @then("a late end of run 1 changes nothing")
 def step_late_end(context):
     world = context.jobs
-    late = world.lost[0]
+    late = world.lapsed[0]
     accepted = world.scheduler.end(
         late.executor, late.task, 1, Outcome.DONE, "", world.now_ms
     )
@@ -229,15 +229,15 @@
 
 
 @when(
-    "the first drains, the second is unlisted, the third is silent and the fourth is "
-    "cordoned"
+    "the first drains, the second is unlisted, the third is unreachable and the fourth "
+    "is cordoned"
 )
 def step_no_new_runs(context):
     world = context.jobs
     first = world.scheduler.executors[world.names[0]]
     world.scheduler.put_executor(attrs.evolve(first.entry, draining=True))
     world.scheduler.unlist_executor(world.names[1])
-    world.scheduler.executors[world.names[2]].silent = True
+    world.scheduler.executors[world.names[2]].unreachable = True
     world.scheduler.cordon({world.names[3]})
 
 
@@ -424,10 +424,10 @@
     assert attrs.astuple(task) == before
 
 
-@when("both executors are silent")
-def step_both_silent(context):
+@when("both executors are unreachable")
+def step_both_unreachable(context):
     for executor in context.jobs.scheduler.executors.values():
-        executor.silent = True
+        executor.unreachable = True
 
 
 @when("both executors are quarantined")
@@ -437,7 +437,7 @@
     for name in context.jobs.names:
         for job in ("j1", "j2"):
             scheduler._health.failed(name, "s", job, 2, context.jobs.now_ms)
-    assert all(map(scheduler._health.is_aside, context.jobs.names))
+    assert all(map(scheduler._health.is_quarantined, context.jobs.names))
 
 
 @then("the pool is short of VMs")
