--- a/scripts/fleet_simulation.py
+++ b/scripts/fleet_simulation.py
@@ -1,8 +1,8 @@
-"""Simulates workers that start what they are given, for bench_placement.py.
+"""Simulates workers that start every task placed on them, for bench_placement.py.
 
-Cores that are overcommitted slow all tasks of a worker alike; memory that is
-overcommitted kills the youngest one. Records are read back one tick after they are
-appended, and usage is reported late.
+When a worker's cores are overcommitted, all its tasks slow down by the same factor;
+when its memory is overcommitted, the task that started last is killed. Records are
+read back one tick after they are appended, and usage reports arrive REPORT_LAG_MS late.
 """
 
 import heapq
@@ -23,22 +23,23 @@
 from cardamomgrade.tasks import TaskState
 
 TICK_MS = 100
-REPORT_MS = 10_000
+REPORT_INTERVAL_MS = 10_000
 REPORT_LAG_MS = 10_000
-RENEW_MS = 150_000
+RENEW_INTERVAL_MS = 150_000
 RUN_MEAN_S = 40
+# The cores and the memory that tasks use; the declared sizes differ by team.
 CORES_MEAN = 2.0
 MEMORY_MEDIAN_MB = 3000
 CHECKPOINT_MB_PER_MS = 4
 THROTTLED_SPEED = 0.25
-BAD_TASK_SHARE = 0.03
-HOPELESS_SHARE = 0.01
-URGENT_SHARE = 0.02
-BAD_WORKER_SHARE = 0.01
-BAD_TASK_S = 5
-BAD_WORKER_S = 2
-CANCEL_WAVE_MS = 60_000
-CANCEL_SHARE = 0.1
+FAILING_TASK_FRACTION = 0.03
+UNPLACEABLE_FRACTION = 0.01
+URGENT_FRACTION = 0.02
+FAILING_WORKER_FRACTION = 0.01
+FAILING_TASK_RUN_S = 5
+FAILING_WORKER_RUN_S = 2
+CANCEL_INTERVAL_MS = 60_000
+CANCEL_FRACTION = 0.1
 URGENT_LIMIT_MS = 2100
 
 
@@ -49,85 +50,107 @@
     )
 
 
-class Job:
-    """What a task really needs; ``left_s`` is the run time that remains."""
+class SimTask:
+    """A task with its real needs, which differ from the declared ones in ``spec``.
 
-    def __init__(self, spec, cores, memory_mb, run_s, bad):
+    ``remaining_s`` is the run time left at full speed and ``checkpoint_s`` its value at
+    the last checkpoint. A ``failing`` task fails after FAILING_TASK_RUN_S.
+    """
+
+    def __init__(self, spec, cores, memory_mb, run_s, failing):
         self.spec = spec
         self.cores = cores
         self.memory_mb = memory_mb
-        self.run_s = self.left_s = run_s
-        self.saved_s = run_s
-        self.bad = bad
+        self.run_s = self.remaining_s = run_s
+        self.checkpoint_s = run_s
+        self.failing = failing
         self.started_ms = None
         self.lost = 0.0
 
 
 class Run:
-    """One attempt on a worker."""
+    """One attempt of a task on a worker."""
 
-    def __init__(self, job, attempt, start_ms):
-        self.job = job
+    def __init__(self, sim_task, attempt, start_ms):
+        self.sim_task = sim_task
         self.attempt = attempt
         self.start_ms = start_ms
         self.throttled = False
 
 
-class Machine:
-    """One worker with its runs; its clock stands at ``at_ms``."""
+class SimWorker:
+    """A worker with its runs by task name, computed up to the time ``at_ms``.
+
+    ``version`` changes with the set or the speed of the runs; a scheduled end with an
+    older version is void. On a ``failing`` worker every run fails after
+    FAILING_WORKER_RUN_S.
+    """
 
-    def __init__(self, worker, bad):
+    def __init__(self, worker, failing):
         self.worker = worker
-        self.bad = bad
+        self.failing = failing
         self.runs = {}
         self.at_ms = 0
         self.version = 0
-        self.used = 0.0
+        self.used_core_s = 0.0
 
     def speed(self):
-        """Return the share of full speed at which tasks run."""
-        wanted = sum(
-            run.job.cores * (THROTTLED_SPEED if run.throttled else 1)
+        """Return the speed of runs that aren't throttled; 1.0 is full speed."""
+        demand_cores = sum(
+            run.sim_task.cores * (THROTTLED_SPEED if run.throttled else 1)
             for run in self.runs.values()
         )
-        return min(1.0, self.worker.cores / wanted) if wanted else 1.0
+        return min(1.0, self.worker.cores / demand_cores) if demand_cores else 1.0
 
     def advance(self, now_ms):
-        """Let the runs go on until ``now_ms``."""
+        """Update the remaining run times and the core seconds used up to ``now_ms``."""
         seconds, speed = (now_ms - self.at_ms) / 1000, self.speed()
         for run in self.runs.values():
-            share = speed * (THROTTLED_SPEED if run.throttled else 1)
-            run.job.left_s -= seconds * share
-            self.used += seconds * share * run.job.cores
+            run_speed = speed * (THROTTLED_SPEED if run.throttled else 1)
+            run.sim_task.remaining_s -= seconds * run_speed
+            self.used_core_s += seconds * run_speed * run.sim_task.cores
         self.at_ms = now_ms
 
     def next_end_ms(self):
-        """Return when the first run ends if nothing changes, or None."""
-        ends = []
+        """Return when the first run ends if the set of runs stays, or None."""
+        end_times_ms = []
         for run in self.runs.values():
-            share = self.speed() * (THROTTLED_SPEED if run.throttled else 1)
-            limit = run.job.left_s
-            if self.bad:
-                limit = min(limit, BAD_WORKER_S - run.job.saved_s + run.job.left_s)
-            elif run.job.bad:
-                limit = min(limit, BAD_TASK_S - run.job.saved_s + run.job.left_s)
-            ends.append(self.at_ms + max(0.0, limit) / share * 1000)
-        return min(ends, default=None)
+            run_speed = self.speed() * (THROTTLED_SPEED if run.throttled else 1)
+            limit = run.sim_task.remaining_s
+            if self.failing:
+                limit = min(
+                    limit,
+                    FAILING_WORKER_RUN_S
+                    - run.sim_task.checkpoint_s
+                    + run.sim_task.remaining_s,
+                )
+            elif run.sim_task.failing:
+                limit = min(
+                    limit,
+                    FAILING_TASK_RUN_S
+                    - run.sim_task.checkpoint_s
+                    + run.sim_task.remaining_s,
+                )
+            end_times_ms.append(self.at_ms + max(0.0, limit) / run_speed * 1000)
+        return min(end_times_ms, default=None)
 
 
 class Simulation:
-    """Drives one placer over a stream of tasks; all chance comes from the seed."""
+    """Runs one placer on random tasks; ``seed`` determines every random draw.
+
+    ``load`` is the offered load in cores as a fraction of the workers' cores.
+    """
 
     def __init__(self, workers, teams, load, seed, placer):
         self._rng = random.Random(seed)
         self._placer = placer
         self._log = []
-        self._read = 0
-        self._referee = TaskState()
-        self._jobs = {}
+        self._folded_count = 0
+        self._task_state = TaskState()
+        self._sim_tasks = {}
         self._numbers = itertools.count()
-        self._machines = {
-            item.name: Machine(item, self._rng.random() < BAD_WORKER_SHARE)
+        self._sim_workers = {
+            item.name: SimWorker(item, self._rng.random() < FAILING_WORKER_FRACTION)
             for item in workers
         }
         self._workers = workers
@@ -139,24 +162,24 @@
         }
         self._teams = teams
         capacity = sum(item.cores for item in workers)
-        self._per_ms = load * capacity / (CORES_MEAN * RUN_MEAN_S * 1000)
+        self._arrivals_per_ms = load * capacity / (CORES_MEAN * RUN_MEAN_S * 1000)
         self._events = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._now_ms = 0
-        self._starts = []
+        self._urgent_delays_ms = []
         self._counts = dict.fromkeys(
             ("submitted", "done", "oom", "stopped", "checkpointed", "throttled"), 0
         )
-        self._done_work = self._killed_work = 0.0
+        self._done_core_s = self._killed_core_s = 0.0
         self._refused_good = 0
 
-    def _at(self, time_ms, call, *args):
-        heapq.heappush(self._events, (time_ms, next(self._order), call, args))
+    def _schedule(self, time_ms, call, *args):
+        heapq.heappush(self._events, (time_ms, next(self._sequence), call, args))
 
     def run(self, until_ms):
-        """Run until a simulated time and return the results."""
-        self._at(0, self._arrive)
-        self._at(CANCEL_WAVE_MS, self._cancel_wave)
+        """Run for ``until_ms`` of simulated time and return a dict of results."""
+        self._schedule(0, self._submit_next)
+        self._schedule(CANCEL_INTERVAL_MS, self._cancel_some)
         for tick_ms in range(0, until_ms, TICK_MS):
             while self._events and self._events[0][0] <= tick_ms:
                 self._now_ms, _, call, args = heapq.heappop(self._events)
@@ -168,31 +191,33 @@
     def _append(self, record):
         logged = Logged(len(self._log), int(self._now_ms), record)
         self._log.append(logged)
-        change = self._referee.fold(logged)
+        change = self._task_state.fold(logged)
         if isinstance(record, TaskPlaced) and not isinstance(change, Refusal):
-            self._at(self._now_ms + TICK_MS, self._start, record)
+            self._schedule(self._now_ms + TICK_MS, self._start, record)
 
     def _tick(self):
-        while self._read < len(self._log):
-            self._placer.fold(self._log[self._read])
-            self._read += 1
+        while self._folded_count < len(self._log):
+            self._placer.fold(self._log[self._folded_count])
+            self._folded_count += 1
         decisions = self._placer.decide(self._now_ms)
         for item in getattr(decisions, "items", decisions):
             if isinstance(item, TaskCurbed):
-                self._at(self._now_ms + TICK_MS, self._curb, item)
+                self._schedule(self._now_ms + TICK_MS, self._apply_action, item)
             elif hasattr(item, "record"):
                 self._append(item.record)
 
-    def _arrive(self):
+    def _submit_next(self):
         rng, number = self._rng, next(self._numbers)
-        self._at(self._now_ms + rng.expovariate(self._per_ms), self._arrive)
+        self._schedule(
+            self._now_ms + rng.expovariate(self._arrivals_per_ms), self._submit_next
+        )
         worker, team = rng.choice(self._workers), f"team{rng.randrange(self._teams)}"
         cores = min(8.0, 0.2 + rng.expovariate(1 / (CORES_MEAN - 0.2)))
         memory = min(30_000.0, MEMORY_MEDIAN_MB * rng.lognormvariate(0, 0.5))
         accelerators = 0
         if worker.pool in self._has_accelerators and rng.random() < 0.3:
             accelerators = rng.choice((1, 1, 1, 2, 4))
-        if rng.random() < HOPELESS_SHARE:
+        if rng.random() < UNPLACEABLE_FRACTION:
             accelerators = 64
         declared = [
             true * self._ratios[team, size] * rng.lognormvariate(0, 0.15)
@@ -205,147 +230,171 @@
             min(declared[0], 16.0),
             int(min(declared[1], 60_000)),
             accelerators,
-            rng.random() < URGENT_SHARE,
+            rng.random() < URGENT_FRACTION,
         )
         run_s = rng.expovariate(1 / RUN_MEAN_S)
-        bad = rng.random() < BAD_TASK_SHARE
-        self._jobs[spec.task] = Job(spec, cores, memory, run_s, bad)
+        failing = rng.random() < FAILING_TASK_FRACTION
+        self._sim_tasks[spec.task] = SimTask(spec, cores, memory, run_s, failing)
         self._counts["submitted"] += 1
-        self._submitted(spec)
+        self._submit(spec)
 
-    def _submitted(self, spec):
-        self._jobs[spec.task].submitted_ms = self._now_ms
+    def _submit(self, spec):
+        self._sim_tasks[spec.task].submitted_ms = self._now_ms
         self._append(spec)
 
-    def _cancel_wave(self):
-        self._at(self._now_ms + CANCEL_WAVE_MS, self._cancel_wave)
-        for name in list(self._referee.tasks):
-            if self._rng.random() < CANCEL_SHARE:
+    def _cancel_some(self):
+        self._schedule(self._now_ms + CANCEL_INTERVAL_MS, self._cancel_some)
+        for name in list(self._task_state.tasks):
+            if self._rng.random() < CANCEL_FRACTION:
                 self._append(TaskCancelled(name))
-                task = self._referee.tasks.get(name)
+                task = self._task_state.tasks.get(name)
                 if task is not None and task.live:
-                    self._at(self._now_ms + TICK_MS, self._kill, task, "stopped")
+                    self._schedule(self._now_ms + TICK_MS, self._kill, task, "stopped")
 
     def _start(self, record):
-        job = self._jobs[record.task]
-        machine = self._machines[record.worker]
-        machine.advance(self._now_ms)
-        machine.runs[record.task] = Run(job, record.attempt, self._now_ms)
-        job.left_s = job.saved_s
-        if job.started_ms is None:
-            job.started_ms = self._now_ms
-            if job.spec.urgent:
-                self._starts.append(self._now_ms - job.submitted_ms)
-        self._at(self._now_ms + REPORT_MS, self._observe, machine, record)
-        self._at(self._now_ms + RENEW_MS, self._renew, machine, record)
-        self._changed(machine)
-
-    def _is_running(self, machine, record):
-        run = machine.runs.get(record.task)
-        return run is not None and run.attempt == record.attempt
+        sim_task = self._sim_tasks[record.task]
+        sim_worker = self._sim_workers[record.worker]
+        sim_worker.advance(self._now_ms)
+        sim_worker.runs[record.task] = Run(sim_task, record.attempt, self._now_ms)
+        sim_task.remaining_s = sim_task.checkpoint_s
+        if sim_task.started_ms is None:
+            sim_task.started_ms = self._now_ms
+            if sim_task.spec.urgent:
+                self._urgent_delays_ms.append(self._now_ms - sim_task.submitted_ms)
+        self._schedule(
+            self._now_ms + REPORT_INTERVAL_MS, self._report_usage, sim_worker, record
+        )
+        self._schedule(
+            self._now_ms + RENEW_INTERVAL_MS, self._renew, sim_worker, record
+        )
+        self._reschedule(sim_worker)
 
-    def _observe(self, machine, record):
-        if self._is_running(machine, record):
-            job = self._jobs[record.task]
-            usage = Usage(record.task, job.cores, job.memory_mb, int(self._now_ms))
-            self._at(self._now_ms + REPORT_LAG_MS, self._placer.report, usage)
-            self._at(self._now_ms + REPORT_MS, self._observe, machine, record)
+    def _is_running(self, sim_worker, record):
+        run = sim_worker.runs.get(record.task)
+        return run is not None and run.attempt == record.attempt
 
-    def _renew(self, machine, record):
-        if self._is_running(machine, record):
+    def _report_usage(self, sim_worker, record):
+        if self._is_running(sim_worker, record):
+            sim_task = self._sim_tasks[record.task]
+            usage = Usage(
+                record.task, sim_task.cores, sim_task.memory_mb, int(self._now_ms)
+            )
+            self._schedule(self._now_ms + REPORT_LAG_MS, self._placer.report, usage)
+            self._schedule(
+                self._now_ms + REPORT_INTERVAL_MS,
+                self._report_usage,
+                sim_worker,
+                record,
+            )
+
+    def _renew(self, sim_worker, record):
+        if self._is_running(sim_worker, record):
             self._append(TaskRenewed(record.task, record.attempt, "w"))
-            self._at(self._now_ms + RENEW_MS, self._renew, machine, record)
-
-    def _changed(self, machine):
-        """Kill what no longer fits in memory and plan the next end."""
-        runs = machine.runs
-        while sum(run.job.memory_mb for run in runs.values()) > (
-            machine.worker.memory_mb
+            self._schedule(
+                self._now_ms + RENEW_INTERVAL_MS, self._renew, sim_worker, record
+            )
+
+    def _reschedule(self, sim_worker):
+        """Kill runs that no longer fit in memory and schedule the next end."""
+        runs = sim_worker.runs
+        while sum(run.sim_task.memory_mb for run in runs.values()) > (
+            sim_worker.worker.memory_mb
         ):
             youngest = max(runs.values(), key=lambda run: run.start_ms)
             self._counts["oom"] += 1
-            self._finish(machine, youngest, "failed")
-        machine.version += 1
-        end_ms = machine.next_end_ms()
+            self._finish(sim_worker, youngest, "failed")
+        sim_worker.version += 1
+        end_ms = sim_worker.next_end_ms()
         if end_ms is not None:
-            self._at(end_ms, self._ends, machine, machine.version)
+            self._schedule(end_ms, self._on_run_end, sim_worker, sim_worker.version)
 
-    def _ends(self, machine, version):
-        if version != machine.version:
+    def _on_run_end(self, sim_worker, version):
+        if version != sim_worker.version:
             return
-        machine.advance(self._now_ms)
-        for run in list(machine.runs.values()):
-            job, ran = run.job, run.job.saved_s - run.job.left_s
-            limit = BAD_WORKER_S if machine.bad else BAD_TASK_S
-            if (machine.bad or job.bad) and ran >= limit - 1e-6:
-                self._finish(machine, run, "failed")
-            elif job.left_s <= 1e-6:
-                self._finish(machine, run, "done")
-        self._changed(machine)
-
-    def _finish(self, machine, run, outcome, keep=False):
-        job = run.job
-        del machine.runs[job.spec.task]
+        sim_worker.advance(self._now_ms)
+        for run in list(sim_worker.runs.values()):
+            sim_task, run_s_so_far = (
+                run.sim_task,
+                run.sim_task.checkpoint_s - run.sim_task.remaining_s,
+            )
+            limit = FAILING_WORKER_RUN_S if sim_worker.failing else FAILING_TASK_RUN_S
+            if (
+                sim_worker.failing or sim_task.failing
+            ) and run_s_so_far >= limit - 1e-6:
+                self._finish(sim_worker, run, "failed")
+            elif sim_task.remaining_s <= 1e-6:
+                self._finish(sim_worker, run, "done")
+        self._reschedule(sim_worker)
+
+    def _finish(self, sim_worker, run, outcome, checkpointed=False):
+        sim_task = run.sim_task
+        del sim_worker.runs[sim_task.spec.task]
         if outcome == "done":
             self._counts["done"] += 1
-            self._done_work += job.run_s * job.cores
-        elif keep:
-            job.saved_s = max(0.0, job.left_s)
-        elif not job.bad:
-            self._killed_work += (job.saved_s - job.left_s) * job.cores
-        self._append(TaskEnded(job.spec.task, run.attempt, outcome, "w"))
-
-    def _kill(self, task, outcome, keep=False):
-        machine = self._machines[task.worker]
-        run = machine.runs.get(task.spec.task)
+            self._done_core_s += sim_task.run_s * sim_task.cores
+        elif checkpointed:
+            sim_task.checkpoint_s = max(0.0, sim_task.remaining_s)
+        elif not sim_task.failing:
+            self._killed_core_s += (
+                sim_task.checkpoint_s - sim_task.remaining_s
+            ) * sim_task.cores
+        self._append(TaskEnded(sim_task.spec.task, run.attempt, outcome, "w"))
+
+    def _kill(self, task, outcome, checkpointed=False):
+        sim_worker = self._sim_workers[task.worker]
+        run = sim_worker.runs.get(task.spec.task)
         if run is not None and run.attempt == task.attempt:
-            machine.advance(self._now_ms)
-            self._finish(machine, run, outcome, keep)
-            self._changed(machine)
+            sim_worker.advance(self._now_ms)
+            self._finish(sim_worker, run, outcome, checkpointed)
+            self._reschedule(sim_worker)
 
-    def _curb(self, item):
-        machine = self._machines[item.worker]
-        run = machine.runs.get(item.task)
+    def _apply_action(self, item):
+        sim_worker = self._sim_workers[item.worker]
+        run = sim_worker.runs.get(item.task)
         if run is None or run.attempt != item.attempt:
             return
-        task = self._referee.tasks[item.task]
+        task = self._task_state.tasks[item.task]
         if item.action is Action.STOP:
             self._counts["stopped"] += 1
             self._kill(task, "stopped")
         elif item.action is Action.CHECKPOINT:
             self._counts["checkpointed"] += 1
-            delay_ms = run.job.memory_mb / CHECKPOINT_MB_PER_MS
-            self._at(self._now_ms + delay_ms, self._kill, task, "stopped", True)
+            delay_ms = run.sim_task.memory_mb / CHECKPOINT_MB_PER_MS
+            self._schedule(self._now_ms + delay_ms, self._kill, task, "stopped", True)
         else:
-            machine.advance(self._now_ms)
+            sim_worker.advance(self._now_ms)
             run.throttled = item.action is Action.THROTTLE
             self._counts["throttled"] += run.throttled
-            self._changed(machine)
+            self._reschedule(sim_worker)
 
     def _results(self, until_ms):
-        for machine in self._machines.values():
-            machine.advance(until_ms)
+        for sim_worker in self._sim_workers.values():
+            sim_worker.advance(until_ms)
         cores = sum(item.cores for item in self._workers)
-        used = sum(machine.used for machine in self._machines.values())
-        waits = [
-            self._now_ms - job.submitted_ms
-            for job in self._jobs.values()
-            if job.spec.urgent
-            and job.started_ms is None
-            and job.spec.accelerators < 64
-            and job.spec.task in self._referee.tasks
+        used_core_s = sum(
+            sim_worker.used_core_s for sim_worker in self._sim_workers.values()
+        )
+        unstarted_ms = [
+            self._now_ms - sim_task.submitted_ms
+            for sim_task in self._sim_tasks.values()
+            if sim_task.spec.urgent
+            and sim_task.started_ms is None
+            and sim_task.spec.accelerators < 64
+            and sim_task.spec.task in self._task_state.tasks
         ]
-        starts = sorted(self._starts + waits)
+        delays_ms = sorted(self._urgent_delays_ms + unstarted_ms)
         return {
             **self._counts,
-            "work_done_core_s": round(self._done_work),
-            "work_killed_core_s": round(self._killed_work),
-            "utilisation": round(used / (cores * until_ms / 1000), 3),
-            "urgent": len(starts),
-            "urgent_not_started": len(waits),
-            "urgent_start_p50_s": round(starts[len(starts) // 2] / 1000, 2),
-            "urgent_start_p99_s": round(starts[int(len(starts) * 0.99)] / 1000, 2),
+            "work_done_core_s": round(self._done_core_s),
+            "work_killed_core_s": round(self._killed_core_s),
+            "utilisation": round(used_core_s / (cores * until_ms / 1000), 3),
+            "urgent": len(delays_ms),
+            "urgent_not_started": len(unstarted_ms),
+            "urgent_start_p50_s": round(delays_ms[len(delays_ms) // 2] / 1000, 2),
+            "urgent_start_p99_s": round(
+                delays_ms[int(len(delays_ms) * 0.99)] / 1000, 2
+            ),
             "urgent_within_limit": round(
-                sum(item <= URGENT_LIMIT_MS for item in starts) / len(starts), 4
+                sum(item <= URGENT_LIMIT_MS for item in delays_ms) / len(delays_ms), 4
             ),
         }
--- a/scripts/verdict.py
+++ b/scripts/verdict.py
@@ -1,7 +1,8 @@
-"""Runs behave on each feature file, several at once, and prints the closing count.
+"""Runs behave on every feature file, several in parallel, and prints the totals.
 
-A failing scenario named in KNOWN-RED.txt is printed and not counted as failed;
-any other failing scenario, or a run that ends without a report, fails the run.
+A failing scenario that KNOWN-RED.txt lists is printed but not counted as failed. Any
+other failing scenario fails the whole run, and so does a run of behave that exits with
+an error although every scenario in its report passed, or that writes no report.
 
 Usage: verdict.py DIRECTORY [behave arguments]
 """
@@ -18,15 +19,18 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
-TEST_FIELD = "test:"
-RUNS_AT_ONCE = 5
-FEATURE_LIMIT_S = 1200
+TEST_FIELD_PREFIX = "test:"
+MAX_PARALLEL_RUNS = 5
+FEATURE_TIMEOUT_S = 1200
 SLOWEST_SHOWN = 5
 
 
 @attrs.frozen
 class FeatureRun:
-    """What one run of behave gave; results are (scenario, status) pairs."""
+    """Result of one run of behave.
+
+    ``status`` is the exit status; ``results`` has a (scenario, status) pair each.
+    """
 
     feature: str
     status: int
@@ -36,17 +40,17 @@
 
 
 def known_red():
-    """Return the scenario names that KNOWN-RED.txt lists."""
+    """Return the set of scenarios in KNOWN-RED.txt, each ``feature: scenario``."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     return {
-        line.split(TEST_FIELD, 1)[1].strip()
+        line.split(TEST_FIELD_PREFIX, 1)[1].strip()
         for line in lines
-        if line.startswith(TEST_FIELD)
+        if line.startswith(TEST_FIELD_PREFIX)
     }
 
 
 def scenarios(report):
-    """Yield (name, status) for each scenario in a behave JSON report."""
+    """Yield (``feature: scenario``, status) for each scenario of a JSON report."""
     for feature in report:
         for element in feature.get("elements", []):
             if element["type"] != "background":
@@ -55,10 +59,10 @@
 
 def run_feature(path, arguments):
     """Run behave on one feature file and return its FeatureRun."""
-    started = time.monotonic()
+    started_s = time.monotonic()
     with tempfile.TemporaryDirectory() as folder:
         report = Path(folder) / "report.json"
-        done = subprocess.run(
+        process = subprocess.run(
             [sys.executable, "-m", "behave", str(path), *arguments]
             + ["--format=plain", "--format=json", "--outfile=/dev/stdout"]
             + [f"--outfile={report}", "--no-skipped", "--no-color"],
@@ -66,23 +70,23 @@
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
             text=True,
-            timeout=FEATURE_LIMIT_S,
+            timeout=FEATURE_TIMEOUT_S,
         )
         text = report.read_text() if report.exists() else ""
     results = list(scenarios(json.loads(text))) if text.strip() else []
-    seconds = time.monotonic() - started
-    return FeatureRun(path.stem, done.returncode, seconds, done.stdout, results)
+    seconds = time.monotonic() - started_s
+    return FeatureRun(path.stem, process.returncode, seconds, process.stdout, results)
 
 
 def run_all(folder, arguments):
-    """Run every feature below a folder and return the FeatureRuns by name."""
+    """Run every feature below a folder; return the FeatureRuns in order of path."""
     paths = sorted(Path(folder).glob("**/*.feature"))
-    with ThreadPoolExecutor(RUNS_AT_ONCE) as pool:
+    with ThreadPoolExecutor(MAX_PARALLEL_RUNS) as pool:
         return list(pool.map(lambda path: run_feature(path, arguments), paths))
 
 
 def print_run(run):
-    """Print a line for a feature, and the whole output of one that failed."""
+    """Print a line for a feature, and the whole output of behave if it failed."""
     passed = sum(status == "passed" for _, status in run.results)
     print(f"{run.feature}: {passed} of {len(run.results)} in {run.seconds:.0f} s")
     if run.status:
@@ -90,18 +94,20 @@
 
 
 def main():
-    """Run behave and return the process exit status."""
+    """Run the features, print the totals and return the exit status."""
     runs = run_all(sys.argv[1], sys.argv[2:])
     for run in runs:
         print_run(run)
     results = [result for run in runs for result in run.results]
-    listed = known_red()
+    known = known_red()
     passed = [name for name, result in results if result == "passed"]
-    red = [name for name, result in results if result not in ("passed", "skipped")]
-    failed = [name for name in red if name not in listed]
-    for name in red:
+    not_passed = [
+        name for name, result in results if result not in ("passed", "skipped")
+    ]
+    failed = [name for name in not_passed if name not in known]
+    for name in not_passed:
         print(f"{'failed' if name in failed else 'known red'}: {name}")
-    broken = sum(
+    unexplained = sum(
         run.status != 0 and all(status == "passed" for _, status in run.results)
         for run in runs
     )
@@ -109,8 +115,8 @@
     print(
         "slowest:", ", ".join(f"{run.feature} {run.seconds:.0f} s" for run in slowest)
     )
-    print(f"{len(passed)} passed, {len(failed) + broken} failed")
-    return 1 if failed or broken or not passed else 0
+    print(f"{len(passed)} passed, {len(failed) + unexplained} failed")
+    return 1 if failed or unexplained or not passed else 0
 
 
 if __name__ == "__main__":
--- a/src/cardamomgrade/standend.py
+++ b/src/cardamomgrade/standend.py
@@ -1,8 +1,8 @@
-"""Stand-in of an endpoint: runs every request that it is given and counts runs.
+"""Stand-in for an endpoint: runs every request that it receives and counts the runs.
 
-Request headers: ``Work-Ms`` (run time), ``Status`` (status to answer). Paths below
-``/__`` are for the platform and for tests: ``/__state``, ``/__runs``, ``/__faults``,
-``/__reboot``.
+Request headers: ``Work-Ms`` (run time), ``Status`` (status of the response). Paths
+below ``/__`` are for the platform and for tests: ``/__state``, ``/__runs``,
+``/__faults``, ``/__reboot``.
 """
 
 import json
@@ -35,9 +35,10 @@
 
 @attrs.define
 class EndpointCounts:
-    """Counts since the process began.
+    """Counts since the process started.
 
-    ``runs`` is by ``Load-Id`` or request id, ``keys`` by idempotency key.
+    ``runs`` is by ``Load-Id``, or by request id without one; ``keys`` is by idempotency
+    key. ``cut`` is the number of requests that a reboot interrupted.
     """
 
     runs: Counter = attrs.field(factory=Counter)
@@ -51,7 +52,7 @@
 
 
 class EndpointStandin:
-    """One endpoint on one address."""
+    """One endpoint that listens on ``address``, a (host, port) pair."""
 
     def __init__(self, loop, net, name, address):
         self._loop = loop
@@ -103,10 +104,10 @@
             self._fence = order["fence"]
             self._state = STATE_REBOOTING
             self._server.drop_others(exchange)
-            self._loop.call_later(order["ms"] / 1000, self._come_up)
+            self._loop.call_later(order["ms"] / 1000, self._finish_reboot)
         exchange.respond(json_response({"fence": self._fence}))
 
-    def _come_up(self):
+    def _finish_reboot(self):
         self._state = STATE_LIVE
 
     def _run(self, exchange):
@@ -142,15 +143,15 @@
         if self._mode == MODE_CLOSE_AFTER:
             exchange.drop()
             return
-        answered = req.header("request-id")
+        answered_id = req.header("request-id")
         if self._mode == MODE_WRONG_ID:
-            answered = "another"
+            answered_id = "another"
         headers = (
             (b"content-type", b"text/plain"),
-            (b"request-id", answered.encode()),
+            (b"request-id", answered_id.encode()),
             (b"endpoint", self._name.encode()),
         )
-        body = f"{self._name} ran {answered}\n".encode() + req.body
+        body = f"{self._name} ran {answered_id}\n".encode() + req.body
         response = HttpResponse(int(req.header("status", "200")), headers, body)
         if self._mode == MODE_HALF:
             exchange.respond_half(response)
--- a/src/cardamomgrade/standin.py
+++ b/src/cardamomgrade/standin.py
@@ -1,6 +1,6 @@
-"""Program ``cardamom-standin``: the platform's and the endpoints' stand-ins.
+"""Program ``cardamom-standin``: stand-ins for the platform and for endpoints.
 
-Settings: ``[standin] listen`` serves the log service, the VM interface and
+Settings: ``[standin] listen`` is the address of the log service, the VM interface and
 ``POST /faults``; ``[vms]`` lists ``name = kind zone rack ip:port`` for the platform;
 ``[endpoints]`` lists ``name = ip:port`` of the endpoints that this process runs.
 """
@@ -25,7 +25,7 @@
 
 @attrs.frozen
 class StandinSettings:
-    """What one stand-in process serves; ``listen`` is empty without a platform."""
+    """Settings of one process; ``listen`` is empty when it serves no platform."""
 
     listen: str
     vms: tuple
@@ -33,7 +33,7 @@
 
 
 def load_standin(path):
-    """Return the settings of a stand-in, or raise SettingsError."""
+    """Return the StandinSettings in a file, or raise SettingsError."""
     parser = read_ini(path)
     for section in parser.sections():
         if section not in SECTIONS:
@@ -43,20 +43,21 @@
         listen = parser.get("standin", "listen", fallback="")
         return StandinSettings(
             address(listen) if listen else "",
-            tuple(_listed(key, text) for key, text in _items(parser, "vms")),
+            tuple(_parse_vm(key, text) for key, text in _section_items(parser, "vms")),
             tuple(
-                (name(key), address(text)) for key, text in _items(parser, "endpoints")
+                (name(key), address(text))
+                for key, text in _section_items(parser, "endpoints")
             ),
         )
     except ValueError as exc:
         raise SettingsError(f"{path}: {exc}") from exc
 
 
-def _items(parser, section):
+def _section_items(parser, section):
     return parser[section].items() if parser.has_section(section) else ()
 
 
-def _listed(key, text):
+def _parse_vm(key, text):
     parts = text.split()
     if len(parts) != 4 or parts[0] not in (KIND_ENDPOINT, KIND_ENTRY):
         raise ValueError(f"[vms] {key} = {text!r}; allowed: kind zone rack ip:port")
@@ -64,11 +65,11 @@
 
 
 class PlatformStandin:
-    """Serves the log, the VM list and the switch of faults on one address."""
+    """Serves the log, the VM interface and ``/faults`` on one address."""
 
-    def __init__(self, loop, net, listed):
+    def __init__(self, loop, net, vms):
         self.log = LogStandin(loop)
-        self.vms = VmStandin(loop, net, listed)
+        self.vms = VmStandin(loop, net, vms)
         self._server = HttpServer(
             loop, net, self._on_request, ServerLimits(body_bytes=BODY_LIMIT_BYTES)
         )
@@ -89,24 +90,24 @@
             exchange.respond(json_response({"error": "unknown path"}, 404))
 
     def _set_faults(self, exchange):
-        wanted = json.loads(exchange.req.body or b"{}")
-        known = {}
+        changes = json.loads(exchange.req.body or b"{}")
+        current = {}
         for faults in (self.log.faults, self.vms.faults):
             for field in attrs.fields(type(faults)):
-                if field.name in wanted:
-                    setattr(faults, field.name, wanted.pop(field.name))
-                known[field.name] = getattr(faults, field.name)
-        self.log.trim()
-        if wanted:
-            view = {"unknown": sorted(wanted), "allowed": sorted(known)}
+                if field.name in changes:
+                    setattr(faults, field.name, changes.pop(field.name))
+                current[field.name] = getattr(faults, field.name)
+        self.log.apply_retention()
+        if changes:
+            view = {"unknown": sorted(changes), "allowed": sorted(current)}
             exchange.respond(json_response(view, 400))
             return
-        known["appends"] = self.log.appends
-        exchange.respond(json_response(known))
+        current["appends"] = self.log.appends
+        exchange.respond(json_response(current))
 
 
 def main():
-    """Run the stand-ins that the settings file names."""
+    """Run the stand-ins of a settings file until a signal stops the process."""
     if len(sys.argv) != 2:
         sys.exit("usage: cardamom-standin SETTINGS.ini")
     try:
--- a/src/cardamomgrade/standlog.py
+++ b/src/cardamomgrade/standlog.py
@@ -1,8 +1,9 @@
-"""Stand-in of the platform's log service, kept in memory.
+"""In-memory stand-in for the platform's log service.
 
-It speaks the protocol that ``feed`` describes. Faults: ``down`` answers 503, ``hang``
-never answers, ``slow_ms`` delays each answer, ``lose_answers`` closes the connection
-after that many appends took effect, ``retain`` keeps only the newest records.
+It serves the protocol that ``feed`` describes. Faults: ``log`` may be ``down`` (every
+response is 503) or ``hang`` (no responses); ``slow_ms`` delays each response;
+``lose_answers`` is the number of coming appends that are applied, but whose connection
+is closed instead of a response; ``retain`` is the number of newest records to keep.
 """
 
 import time
@@ -22,7 +23,7 @@
 
 @attrs.define
 class LogFaults:
-    """Faults in force; ``retain`` is in records a stream, 0 keeps all."""
+    """Faults to inject; ``retain`` is in records per stream, 0 keeps all."""
 
     log: str = STATUS_UP
     slow_ms: int = 0
@@ -32,11 +33,11 @@
 
 @attrs.define
 class _Stream:
-    """Records of one stream; ``earliest`` is the offset of the first kept."""
+    """Records of one stream; ``earliest`` is the offset of the oldest one kept."""
 
     records: list = attrs.field(factory=list)
     earliest: int = 0
-    waiters: list = attrs.field(factory=list)
+    pending_reads: list = attrs.field(factory=list)
 
     @property
     def tail(self):
@@ -44,8 +45,8 @@
 
 
 @attrs.define(eq=False)
-class _Waiter:
-    """A reader at the tail that waits for a record."""
+class _PendingRead:
+    """A read from the stream's tail whose response waits for the next append."""
 
     exchange: object
     start: int
@@ -59,7 +60,7 @@
 
 
 class LogStandin:
-    """Answers exchanges under ``/streams/``."""
+    """Serves reads and appends below ``/streams/``."""
 
     def __init__(self, loop):
         self._loop = loop
@@ -69,7 +70,7 @@
         self.appends = 0
 
     def handle(self, exchange):
-        """Answer one read or append, under the faults in force."""
+        """Respond to one read or append, as the injected faults allow."""
         if self.faults.log == STATUS_HANG:
             return
         if self.faults.log == STATUS_DOWN:
@@ -96,25 +97,25 @@
         for data in cbor2.loads(exchange.req.body):
             stream.records.append((stream.tail, self._last_ms, data))
             self.appends += 1
-        self._retain(stream)
+        self._trim_stream(stream)
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
             exchange.drop()
         else:
             exchange.respond(cbor_response({"first": first}))
-        self._wake(stream)
+        self._answer_pending(stream)
 
-    def _retain(self, stream):
+    def _trim_stream(self, stream):
         excess = len(stream.records) - self.faults.retain
         if self.faults.retain and excess > 0:
             del stream.records[:excess]
             stream.earliest += excess
 
-    def _wake(self, stream):
-        waiters, stream.waiters = stream.waiters, []
-        for waiter in waiters:
-            waiter.timer.cancel()
-            self._page(waiter.exchange, stream, waiter.start, waiter.limit)
+    def _answer_pending(self, stream):
+        pending_reads, stream.pending_reads = stream.pending_reads, []
+        for read in pending_reads:
+            read.timer.cancel()
+            self._send_page(read.exchange, stream, read.start, read.limit)
 
     def _read(self, exchange, stream, query):
         start = int(query["from"][0])
@@ -123,20 +124,20 @@
         if start < stream.earliest:
             exchange.respond(cbor_response({"earliest": stream.earliest}, 410))
         elif start < stream.tail or not wait_ms:
-            self._page(exchange, stream, start, limit)
+            self._send_page(exchange, stream, start, limit)
         else:
             self._wait(exchange, stream, start, limit, wait_ms)
 
     def _wait(self, exchange, stream, start, limit, wait_ms):
-        def give_up():
-            stream.waiters.remove(waiter)
-            self._page(exchange, stream, start, limit)
+        def expire():
+            stream.pending_reads.remove(read)
+            self._send_page(exchange, stream, start, limit)
 
-        timer = self._loop.call_later(wait_ms / 1000, give_up)
-        waiter = _Waiter(exchange, start, limit, timer)
-        stream.waiters.append(waiter)
+        timer = self._loop.call_later(wait_ms / 1000, expire)
+        read = _PendingRead(exchange, start, limit, timer)
+        stream.pending_reads.append(read)
 
-    def _page(self, exchange, stream, start, limit):
+    def _send_page(self, exchange, stream, start, limit):
         if self.faults.log != STATUS_UP:
             exchange.respond(HttpResponse(503))
             return
@@ -148,7 +149,7 @@
         }
         exchange.respond(cbor_response(page))
 
-    def trim(self):
-        """Apply a changed retention to every stream."""
+    def apply_retention(self):
+        """Trim every stream to ``faults.retain`` records."""
         for stream in self._streams.values():
-            self._retain(stream)
+            self._trim_stream(stream)
--- a/src/cardamomgrade/standvms.py
+++ b/src/cardamomgrade/standvms.py
@@ -1,9 +1,9 @@
-"""Stand-in of the platform's VM interface: a lagging list, and reboots.
+"""Stand-in for the platform's VM interface: a delayed VM list, and reboots.
 
-``GET /vms`` lists the VMs as they were ``lag_ms`` ago. An entry VM that refuses
-connections is taken for removed and listed no more; one that is silent is failed.
-``POST /vms/NAME/reboot`` with ``{"fence": N}`` reboots an endpoint VM when N is higher
-than any fence before.
+``GET /vms`` lists the VMs as they were ``lag_ms`` ago. A VM that does not respond to
+several polls is listed as failed; an entry VM that refuses connections counts as
+removed and is not listed. ``POST /vms/NAME/reboot`` with ``{"fence": N}`` reboots an
+endpoint VM when N is higher than every earlier fence of the VM.
 """
 
 import json
@@ -29,7 +29,7 @@
 
 @attrs.define
 class ListedVm:
-    """A VM as the platform lists it; ``fence`` is that of its last reboot."""
+    """A VM in the list; ``fence`` is the one of its last reboot, -1 before any."""
 
     vm: str
     kind: str
@@ -42,7 +42,12 @@
 
 @attrs.define
 class VmFaults:
-    """Faults in force; times in ms."""
+    """Faults to inject.
+
+    ``vms`` other than ``up`` makes every response a 503. ``lag_ms`` is the age of the
+    list and ``reboot_ms`` the length of a reboot. ``lose_reboot_answers`` is the number
+    of coming reboots whose connection is closed instead of a response.
+    """
 
     vms: str = "up"
     lag_ms: int = 500
@@ -51,12 +56,12 @@
 
 
 @attrs.define(eq=False)
-class _Watch:
-    """What the platform knows of one VM now."""
+class _VmStatus:
+    """The current state of one VM, before the delay of the list."""
 
     listed: ListedVm
     requester: Requester
-    misses: int = 0
+    failed_polls: int = 0
     removed: bool = False
     highest_fence: int = -1
 
@@ -67,12 +72,12 @@
 
 
 class VmStandin:
-    """Watches VMs, lists them late and reboots endpoints on order."""
+    """Polls VMs, serves a delayed list of them and reboots endpoint VMs."""
 
     def __init__(self, loop, net, vms):
         self._loop = loop
-        self._watches = {
-            item.vm: _Watch(item, Requester(loop, net, item.address)) for item in vms
+        self._vms = {
+            item.vm: _VmStatus(item, Requester(loop, net, item.address)) for item in vms
         }
         self._history = deque()
         self.faults = VmFaults()
@@ -80,43 +85,41 @@
 
     def _poll(self):
         self._loop.call_later(POLL_S, self._poll)
-        for watch in self._watches.values():
-            self._probe(watch)
+        for vm in self._vms.values():
+            self._probe(vm)
         snapshot = [
-            attrs.asdict(watch.listed)
-            for watch in self._watches.values()
-            if not watch.removed
+            attrs.asdict(vm.listed) for vm in self._vms.values() if not vm.removed
         ]
         self._history.append((self._loop.now(), snapshot))
         horizon = self._loop.now() - self.faults.lag_ms / 1000
         while len(self._history) > 1 and self._history[1][0] <= horizon:
             self._history.popleft()
 
-    def _probe(self, watch):
-        path = "/__state" if watch.listed.kind == KIND_ENDPOINT else "/__alive"
+    def _probe(self, vm):
+        path = "/__state" if vm.listed.kind == KIND_ENDPOINT else "/__alive"
         req = HttpRequest("GET", path, ((b"host", b"vm"),))
-        watch.requester.request(
-            req, lambda result: self._probed(watch, result), CALL_TIMEOUT_S
+        vm.requester.request(
+            req, lambda result: self._on_probe(vm, result), CALL_TIMEOUT_S
         )
 
-    def _probed(self, watch, result):
+    def _on_probe(self, vm, result):
         if not isinstance(result, HttpResponse):
-            watch.misses += 1
-            if watch.misses >= FAILED_AFTER_POLLS:
-                watch.listed.state = STATE_FAILED
+            vm.failed_polls += 1
+            if vm.failed_polls >= FAILED_AFTER_POLLS:
+                vm.listed.state = STATE_FAILED
                 refused = REFUSED in result.detail
-                watch.removed = refused and watch.listed.kind == KIND_ENTRY
+                vm.removed = refused and vm.listed.kind == KIND_ENTRY
             return
-        watch.misses = 0
-        watch.removed = False
-        watch.listed.state = STATE_LIVE
-        if watch.listed.kind == KIND_ENDPOINT:
+        vm.failed_polls = 0
+        vm.removed = False
+        vm.listed.state = STATE_LIVE
+        if vm.listed.kind == KIND_ENDPOINT:
             state = json.loads(result.body)
-            watch.listed.state = state["state"]
-            watch.listed.fence = max(watch.listed.fence, state["fence"])
+            vm.listed.state = state["state"]
+            vm.listed.fence = max(vm.listed.fence, state["fence"])
 
     def handle(self, exchange):
-        """Answer a call under ``/vms``."""
+        """Respond to a request below ``/vms``."""
         if self.faults.vms != "up":
             exchange.respond(HttpResponse(503))
         elif exchange.req.method == "GET":
@@ -126,28 +129,28 @@
 
     def _reboot(self, exchange):
         parts = exchange.req.path.split("/")
-        watch = self._watches.get(parts[2]) if len(parts) == 4 else None
-        if watch is None or parts[3] != "reboot":
+        vm = self._vms.get(parts[2]) if len(parts) == 4 else None
+        if vm is None or parts[3] != "reboot":
             exchange.respond(json_response({"error": "unknown VM or call"}, 404))
             return
         fence = json.loads(exchange.req.body)["fence"]
-        if fence <= watch.highest_fence:
-            exchange.respond(json_response({"fence": watch.highest_fence}, 409))
+        if fence <= vm.highest_fence:
+            exchange.respond(json_response({"fence": vm.highest_fence}, 409))
             return
-        watch.highest_fence = fence
-        self._send_reboot(watch, fence)
+        vm.highest_fence = fence
+        self._send_reboot(vm, fence)
         if self.faults.lose_reboot_answers > 0:
             self.faults.lose_reboot_answers -= 1
             exchange.drop()
             return
         exchange.respond(json_response({"fence": fence}))
 
-    def _send_reboot(self, watch, fence):
+    def _send_reboot(self, vm, fence):
         body = json.dumps({"fence": fence, "ms": self.faults.reboot_ms}).encode()
         req = HttpRequest("POST", "/__reboot", ((b"host", b"vm"),), body)
 
         def done(result):
-            if not result and watch.highest_fence == fence:
-                self._loop.call_later(POLL_S, lambda: self._send_reboot(watch, fence))
+            if not result and vm.highest_fence == fence:
+                self._loop.call_later(POLL_S, lambda: self._send_reboot(vm, fence))
 
-        watch.requester.request(req, done, CALL_TIMEOUT_S)
+        vm.requester.request(req, done, CALL_TIMEOUT_S)
--- a/tests/system.py
+++ b/tests/system.py
@@ -176,7 +176,7 @@
             self.rig.loop, self.rig.net, plan.endpoints, lambda: done.append(True)
         )
         self.rig.run_until(lambda: done)
-        self.report = report(run.shots, counts)
+        self.report = report(run.requests, counts)
 
     def records(self):
         """Return the records of the fleet stream as of now."""
