--- a/bin/cardamom_jobs.py
+++ b/bin/cardamom_jobs.py
@@ -1,4 +1,4 @@
-"""Starts ``cardamom-jobs`` from a checkout, where the package is not installed."""
+"""Runs ``cardamom-jobs`` from a checkout, without an installed package."""
 
 import sys
 from pathlib import Path
--- a/scripts/bare_web.py
+++ b/scripts/bare_web.py
@@ -1,4 +1,4 @@
-"""A bare circuits.web server, the baseline of the entry's throughput.
+"""A minimal circuits.web server, the baseline for the entry's throughput.
 
 Usage: bare_web.py IP:PORT
 """
@@ -9,10 +9,10 @@
 
 
 class Root(Controller):
-    """Answers its path with a line."""
+    """Responds to ``/`` with one line."""
 
     def index(self):
-        """Return the body of the answer."""
+        """Return the body of the response."""
         return "answered\n"
 
 
--- a/scripts/bench.py
+++ b/scripts/bench.py
@@ -1,6 +1,6 @@
-"""Runs every measurement and writes out/bench/report.json and plots.
+"""Runs the benches and writes out/bench/report.json and a plot.
 
-Usage: bench.py [NAME ...]; without names all are run, one after the other.
+Usage: bench.py [NAME ...]; without names all run, one after the other.
 """
 
 import json
@@ -28,19 +28,19 @@
 
 
 def fit(points):
-    """Return (slope, intercept, largest relative error) of a least squares line."""
+    """Return (slope, intercept, largest relative error) of the least-squares line."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
-    spread = sum((x - mean_x) ** 2 for x, _ in points)
-    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / spread
+    sum_xx = sum((x - mean_x) ** 2 for x, _ in points)
+    slope = sum((x - mean_x) * (y - mean_y) for x, y in points) / sum_xx
     intercept = mean_y - slope * mean_x
     error = max(abs(intercept + slope * x - y) / abs(y) for x, y in points if y)
     return slope, intercept, error
 
 
 def fits(sizes):
-    """Return the fitted lines over VMs of the figures of bench_process."""
+    """Return least-squares lines of bench_process figures over the number of VMs."""
     rows = {}
     for program in ("entry", "control"):
         for field in ("resident_mb", "peak_mb", "ms_per_change", "rest_core_share"):
@@ -55,7 +55,7 @@
 
 
 def plot_sizes(sizes):
-    """Write a plot of memory over VMs with the letter's bound."""
+    """Write a plot of peak memory over VMs with the bound of a control, 32 MB."""
     figure, axes = pyplot.subplots(figsize=(6, 4))
     vms = [row["vms"] for row in sizes]
     for program in ("entry", "control"):
@@ -68,9 +68,9 @@
 
 
 def run(name):
-    """Run one measurement and return its JSON and its seconds."""
-    started = time.monotonic()
-    done = subprocess.run(
+    """Run one bench; return (parsed JSON, duration in seconds)."""
+    started_s = time.monotonic()
+    process = subprocess.run(
         [sys.executable, str(ROOT / "scripts" / COMMANDS[name][0])]
         + COMMANDS[name][1:],
         cwd=ROOT,
@@ -78,11 +78,11 @@
         text=True,
         check=True,
     )
-    return json.loads(done.stdout), round(time.monotonic() - started, 1)
+    return json.loads(process.stdout), round(time.monotonic() - started_s, 1)
 
 
 def main():
-    """Run the named measurements and write the report."""
+    """Run the named benches and update the report."""
     OUT.mkdir(parents=True, exist_ok=True)
     path = OUT / "report.json"
     report = json.loads(path.read_text()) if path.exists() else {}
--- a/scripts/bench_estates.py
+++ b/scripts/bench_estates.py
@@ -1,4 +1,4 @@
-"""Estates for the measurements: the two deployments and the letter's size."""
+"""Bundles for the benches: both example deployments and the users' target size."""
 
 import random
 
@@ -6,12 +6,13 @@
 
 ZONES_AGENCE = ("agdal", "hay-riad", "souissi", "temara")
 ZONES_HEIDAVOLLUR = ("hella", "selfoss", "hvolsvollur")
-LETTER_VMS = 6600
-LETTER_POOLS = 319
-LETTER_SERVICES = 350
-LETTER_ZONES = 17
+TARGET_VMS = 6600
+TARGET_POOLS = 319
+TARGET_SERVICES = 350
+TARGET_ZONES = 17
 RACK_VMS = 4
 SEED = 7
+# Each VM fails once in VMS_PER_FAILURE steps on average, for FAILURE_STEPS steps.
 RACK_FAILS_AT_STEP = 2
 RACK_FAILS_STEPS = 3
 VMS_PER_FAILURE = 300
@@ -19,9 +20,11 @@
 
 
 def estate_text(vms, pools, services, zones, **options):
-    """Return a bundle's INI text with VMs dealt to pools and zones in turn.
+    """Return a bundle's INI text that assigns VMs to pools and zones in rotation.
 
-    ``spare`` VMs of each pool may be out; ``moved`` VMs are assigned to the next pool.
+    Options: ``spare`` is the number of VMs of each pool that its services' budgets can
+    do without; the first ``moved`` VMs belong to the next pool instead; ``version`` is
+    the bundle's; ``weights`` are more options of its header.
     """
     version, spare = options.get("version", 1), options["spare"]
     weights = options.get("weights", {})
@@ -53,21 +56,21 @@
     return lines
 
 
-def letter_text(scale, **options):
-    """Return the INI text of the letter's estate times ``scale``."""
-    zones = [f"z{zone}" for zone in range(LETTER_ZONES)]
-    counts = (LETTER_VMS, LETTER_POOLS, LETTER_SERVICES)
+def target_text(scale, **options):
+    """Return the INI text of a bundle of the target size times ``scale``."""
+    zones = [f"z{zone}" for zone in range(TARGET_ZONES)]
+    counts = (TARGET_VMS, TARGET_POOLS, TARGET_SERVICES)
     sizes = [max(1, round(count * scale)) for count in counts]
     return estate_text(*sizes, zones, **{"spare": 4, **options})
 
 
 def deployments(**options):
-    """Return {name: INI text} of both deployments of the brief.
+    """Return {name: INI text} of both example deployments.
 
-    The tight one can't lose a rack besides a VM.
+    ``agence-tight`` has too few spare VMs to lose a rack in addition to a VM.
     """
     agence = {"weight_moves": 3, "weight_rollout": 3, "weight_buffer": 1}
-    farm = {"weight_moves": 1, "weight_rollout": 1, "weight_buffer": 3}
+    heidavollur = {"weight_moves": 1, "weight_rollout": 1, "weight_buffer": 3}
     return {
         "agence": estate_text(
             40, 5, 5, ZONES_AGENCE, spare=4, weights=agence, **options
@@ -76,40 +79,44 @@
             40, 5, 5, ZONES_AGENCE, spare=2, weights=agence, **options
         ),
         "heidavollur": estate_text(
-            30, 5, 5, ZONES_HEIDAVOLLUR, spare=3, weights=farm, **options
+            30, 5, 5, ZONES_HEIDAVOLLUR, spare=3, weights=heidavollur, **options
         ),
     }
 
 
-def bundle_of_text(text):
-    """Return the Bundle of INI text."""
+def parse_text(text):
+    """Return the Bundle in INI text."""
     return parse_bundle(text, "bench")
 
 
-class Faults:
-    """Failures by step, the same for every planner: single VMs, and one rack."""
+class FailureSchedule:
+    """Failures of single VMs and of one rack by step, the same for every planner."""
 
     def __init__(self, bundle):
         self._vms = sorted(bundle.vms.values(), key=lambda vm: vm.name)
         self._racks = sorted({vm.rack for vm in self._vms})
 
-    def at(self, step):
-        """Return the names of the VMs that are failed in a step."""
-        begun = range(step - FAILURE_STEPS + 1, step + 1)
-        failed = set().union(*map(self._begin, begun))
+    def failed_vms(self, step):
+        """Return the set of VM names that are failed in a step."""
+        recent_steps = range(step - FAILURE_STEPS + 1, step + 1)
+        failed = set().union(*map(self._new_failures, recent_steps))
         if RACK_FAILS_AT_STEP <= step < RACK_FAILS_AT_STEP + RACK_FAILS_STEPS:
             rack = random.Random(SEED).choice(self._racks)
             failed |= {vm.name for vm in self._vms if vm.rack == rack}
         return failed
 
-    def _begin(self, step):
-        """Return the names of the VMs that fail as a step begins."""
+    def _new_failures(self, step):
+        """Return the set of VM names whose failure starts in a step."""
         rng = random.Random(f"{SEED} {step}")
         return {vm.name for vm in self._vms if rng.random() < 1 / VMS_PER_FAILURE}
 
 
-class Estate:
-    """Pools of a bundle, to count breaches that maintenance brings about."""
+class BudgetChecker:
+    """Counts breaches of availability budgets that maintenance causes.
+
+    ``required`` is the number of VMs that each pool needs; ``pool_of`` maps VM names to
+    pools and is set by the caller.
+    """
 
     def __init__(self, bundle, required):
         self._required = required
@@ -117,30 +124,31 @@
         self.pool_of = {}
 
     def breaches(self, out, failed):
-        """Count pools that would keep their budget but for the VMs that are out."""
+        """Count pools below budget that would keep it if the VMs in ``out`` served."""
         return sum(
-            self._below(pool, out | failed) and not self._below(pool, failed)
+            self._is_below_budget(pool, out | failed)
+            and not self._is_below_budget(pool, failed)
             for pool in {self.pool_of[name] for name in out}
         )
 
     def rack_breaches(self, out, failed):
-        """Count pools that one more rack would bring below, but for those out."""
+        """Count pools that, only due to ``out``, can't lose one more rack."""
         return sum(
-            self._below_by_rack(pool, out | failed)
-            and not self._below_by_rack(pool, failed)
+            self._is_below_without_rack(pool, out | failed)
+            and not self._is_below_without_rack(pool, failed)
             for pool in {self.pool_of[name] for name in out}
         )
 
-    def _left(self, pool, gone):
-        return [n for n, p in self.pool_of.items() if p == pool and n not in gone]
+    def _remaining(self, pool, absent):
+        return [n for n, p in self.pool_of.items() if p == pool and n not in absent]
 
-    def _below(self, pool, gone):
-        return len(self._left(pool, gone)) < self._required.get(pool, 0)
+    def _is_below_budget(self, pool, absent):
+        return len(self._remaining(pool, absent)) < self._required.get(pool, 0)
 
-    def _below_by_rack(self, pool, gone):
-        left, racks = self._left(pool, gone), {}
-        for name in left:
+    def _is_below_without_rack(self, pool, absent):
+        remaining, racks = self._remaining(pool, absent), {}
+        for name in remaining:
             rack = self._vms[name].rack
             racks[rack] = racks.get(rack, 0) + 1
-        worst = max(racks.values(), default=0)
-        return len(left) - worst < self._required.get(pool, 0)
+        largest_rack = max(racks.values(), default=0)
+        return len(remaining) - largest_rack < self._required.get(pool, 0)
--- a/scripts/bench_mesh.py
+++ b/scripts/bench_mesh.py
@@ -1,6 +1,6 @@
-"""Measures what an idle mesh costs: bytes and processor time by entries and links.
+"""Measures bytes and processor time of an idle mesh by number of entries.
 
-All entries run on one loop of one process. Prints JSON with the fitted slopes.
+All entries run on one loop in one process. Prints JSON with least-squares slopes.
 
 Usage: bench_mesh.py [SECONDS]
 """
@@ -31,13 +31,13 @@
 
 
 def run_for(loop, seconds):
-    """Run a loop for a while."""
+    """Run a loop for ``seconds``."""
     loop.call_later(seconds, loop.finish)
     loop.run()
 
 
 def measure(count, seconds):
-    """Return the figures of a mesh of ``count`` entries at rest."""
+    """Return the figures of an idle mesh of ``count`` entries, over ``seconds``."""
     loop = Loop()
     net = Net(loop)
     peers = [(f"entry-{index}", free_address()) for index in range(count)]
@@ -69,15 +69,15 @@
 
 
 def slope(rows, field):
-    """Return the least-squares slope of a field by entries."""
+    """Return the least-squares slope of a field per entry."""
     mean_x = sum(row["entries"] for row in rows) / len(rows)
     mean_y = sum(row[field] for row in rows) / len(rows)
-    over = sum((row["entries"] - mean_x) * (row[field] - mean_y) for row in rows)
-    return round(over / sum((row["entries"] - mean_x) ** 2 for row in rows), 4)
+    sum_xy = sum((row["entries"] - mean_x) * (row[field] - mean_y) for row in rows)
+    return round(sum_xy / sum((row["entries"] - mean_x) ** 2 for row in rows), 4)
 
 
 def main():
-    """Print the figures at each size and their slopes by entry."""
+    """Print the figures at each size and their slopes per entry."""
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else SECONDS
     rows = [measure(count, seconds) for count in SIZES]
     slopes = {
--- a/scripts/bench_slots.py
+++ b/scripts/bench_slots.py
@@ -1,7 +1,7 @@
-"""Compares slot tokens with fixed shares and with no coordination.
+"""Compares slot tokens with fixed shares of the slots and with no coordination.
 
-A simulation with a fixed seed: entries send requests to endpoints that start what
-they are given. The ledgers are the real ones over a simulated network. Prints JSON.
+A simulation with a fixed seed: entries send requests to endpoints, which start each
+one at once. The token ledgers are the real code on a simulated network. Prints JSON.
 
 Usage: bench_slots.py [SECONDS]
 """
@@ -17,6 +17,7 @@
 
 from cardamomgrade.slots import SlotLedger, TICK_S
 
+# LOAD is the offered load as a fraction of all slots; SERVICE_S is the mean run time.
 SEED = 7
 ENTRIES = 7
 ENDPOINTS = tuple(f"vm-{index}" for index in range(8))
@@ -25,260 +26,265 @@
 LOAD = 0.8
 DEADLINE_S = 1.0
 ONE_WAY_S = 0.0005
-DRAW = 2
+CHOICES_DRAWN = 2
 FAULT_AT_S = 4.0
-NOTICED_AFTER_S = 1.0
+FAULT_DETECTED_AFTER_S = 1.0
 REPLACED_AFTER_S = 3.0
 SECONDS = 12.0
-SKEWED = 4
+SKEWED_WEIGHT = 4
 
 
-class Share:
-    """A fixed share of the slots of each endpoint."""
+class FixedShare:
+    """A fixed share of the slots of each endpoint, with the interface of SlotLedger."""
 
     def __init__(self, count):
         self._count = count
-        self._used = dict.fromkeys(ENDPOINTS, 0)
+        self._taken = dict.fromkeys(ENDPOINTS, 0)
 
     def available(self, endpoint):
-        """Return the slots of the share that are not taken."""
-        return self._count - self._used[endpoint]
+        """Return the number of free slots in the share."""
+        return self._count - self._taken[endpoint]
 
     def take(self, endpoint):
-        """Take a slot when there is one."""
+        """Take a slot and return True, or return False when none is free."""
         if self.available(endpoint) <= 0:
             return False
-        self._used[endpoint] += 1
+        self._taken[endpoint] += 1
         return True
 
     def give_back(self, endpoint):
-        """Return a slot."""
-        self._used[endpoint] -= 1
+        """Free a slot."""
+        self._taken[endpoint] -= 1
 
     def want(self, endpoints, count):
-        """Do nothing: a share does not grow."""
+        """Do nothing: the size of the share is fixed."""
 
     def tick(self):
-        """Do nothing: a share does not change."""
+        """Do nothing: the share has no timers."""
 
 
 @attrs.frozen
-class Job:
-    """A request that arrived at a time and takes a number of seconds."""
+class Request:
+    """A request with its time of arrival and its run time in seconds."""
 
-    arrived: float
+    arrived_s: float
     work_s: float
 
 
 @attrs.define(eq=False)
-class Node:
-    """An entry: its slots, its waiting arrivals and its requests in flight."""
+class Entry:
+    """An entry with its slots, its queue and its requests in flight per endpoint."""
 
     name: str
     slots: object
     incarnation: int
     queue: deque = attrs.field(factory=deque)
-    held: dict = attrs.field(factory=lambda: dict.fromkeys(ENDPOINTS, 0))
+    in_flight: dict = attrs.field(factory=lambda: dict.fromkeys(ENDPOINTS, 0))
     frozen: bool = False
     dead: bool = False
 
 
 @attrs.define
-class Result:
-    """Counts of a run; times in seconds of the requests that were answered."""
+class RunResult:
+    """Counts of a run; ``latencies_s`` has one value per answered request."""
 
     sent: int = 0
     answered: int = 0
     expired: int = 0
-    peak: int = 0
+    peak_in_flight: int = 0
     messages: int = 0
-    waits: list = attrs.field(factory=list)
+    latencies_s: list = attrs.field(factory=list)
 
 
 class Simulation:
-    """One run of one way of sharing slots."""
+    """One run of one scheme: ``tokens``, ``shares`` or ``none``.
 
-    def __init__(self, way, weights, fault, seconds):
+    ``weights`` are the relative request rates of the entries; ``fault`` is ``frozen``,
+    ``killed`` or None.
+    """
+
+    def __init__(self, scheme, weights, fault, seconds):
         self.now = 0.0
-        self.way, self.fault, self.seconds = way, fault, seconds
-        self.arrivals = random.Random(SEED)
+        self.scheme, self.fault, self.seconds = scheme, fault, seconds
+        self.arrival_rng = random.Random(SEED)
         self.rng = random.Random(SEED + 1)
         self.weights = dict(zip(self.names(), weights, strict=True))
-        self.events, self.order = [], itertools.count()
+        self.calls, self.sequence = [], itertools.count()
         self.running = dict.fromkeys(ENDPOINTS, 0)
-        self.result = Result()
-        self.born = itertools.count(1)
-        self.nodes = {}
+        self.result = RunResult()
+        self.next_incarnation = itertools.count(1)
+        self.entries = {}
         for name in self.names():
-            self.start(name)
+            self.start_entry(name)
 
     @staticmethod
     def names():
         """Return the names of the entries."""
         return [f"e{index}" for index in range(ENTRIES)]
 
-    def start(self, name, first=True):
-        """Start an entry, which meets all others."""
-        born = next(self.born)
-        node = Node(name, self._slots(name, born), born)
-        self.nodes[name] = node
-        if self.way != "tokens":
+    def start_entry(self, name, first=True):
+        """Start an entry; it and all entries that aren't frozen learn of each other."""
+        own_incarnation = next(self.next_incarnation)
+        entry = Entry(name, self._slots(name, own_incarnation), own_incarnation)
+        self.entries[name] = entry
+        if self.scheme != "tokens":
             return
         counts = dict.fromkeys(ENDPOINTS, SLOTS)
-        node.slots.configure(counts, self.names(), DEADLINE_S)
+        entry.slots.configure(counts, self.names(), DEADLINE_S)
         if first:
-            node.slots.prove_first()
-        for other in self.nodes.values():
-            if other is not node and not other.frozen:
-                node.slots.learn(other.name, other.incarnation)
-                other.slots.learn(name, born)
-
-    def _slots(self, name, born):
-        if self.way == "shares":
-            return Share(SLOTS // ENTRIES)
-        if self.way == "none":
-            return Share(10**9)
+            entry.slots.prove_first()
+        for other in self.entries.values():
+            if other is not entry and not other.frozen:
+                entry.slots.learn(other.name, other.incarnation)
+                other.slots.learn(name, own_incarnation)
+
+    def _slots(self, name, own_incarnation):
+        if self.scheme == "shares":
+            return FixedShare(SLOTS // ENTRIES)
+        if self.scheme == "none":
+            return FixedShare(10**9)
 
         def send(peer, incarnation, message):
             self.result.messages += 1
-            self.at(
-                ONE_WAY_S, lambda: self.deliver(peer, incarnation, name, born, message)
+            self.call_later(
+                ONE_WAY_S,
+                lambda: self.deliver(peer, incarnation, name, own_incarnation, message),
             )
 
         return SlotLedger(
             name,
-            born,
+            own_incarnation,
             lambda: self.now,
             send,
-            lambda: self.at(0, lambda: self.drive(self.nodes[name])),
+            lambda: self.call_later(0, lambda: self.start_queued(self.entries[name])),
         )
 
-    def deliver(self, peer, incarnation, name, born, message):
-        """Bring a message to the incarnation it was sent to."""
-        node = self.nodes[peer]
-        if node.incarnation == incarnation and not node.frozen and not node.dead:
-            node.slots.receive(name, born, message)
+    def deliver(self, peer, incarnation, name, sender_incarnation, message):
+        """Deliver a message if its receiver still has the given incarnation."""
+        entry = self.entries[peer]
+        if entry.incarnation == incarnation and not entry.frozen and not entry.dead:
+            entry.slots.receive(name, sender_incarnation, message)
 
-    def at(self, delay, callback):
-        """Call back after a delay in simulated seconds."""
-        heapq.heappush(self.events, (self.now + delay, next(self.order), callback))
+    def call_later(self, delay, callback):
+        """Run ``callback`` after ``delay`` simulated seconds."""
+        heapq.heappush(self.calls, (self.now + delay, next(self.sequence), callback))
 
     def run(self):
-        """Run to the end and return the Result."""
-        self.at(0.5, self.arrive)
-        self.at(TICK_S, self.tick)
+        """Run for the given number of seconds and return the RunResult."""
+        self.call_later(0.5, self.add_request)
+        self.call_later(TICK_S, self.tick)
         if self.fault:
-            self.at(FAULT_AT_S, self.fail)
-        while self.events and self.now < self.seconds:
-            self.now, _, callback = heapq.heappop(self.events)
+            self.call_later(FAULT_AT_S, self.inject_fault)
+        while self.calls and self.now < self.seconds:
+            self.now, _, callback = heapq.heappop(self.calls)
             callback()
         return self.result
 
-    def fail(self):
-        """Freeze or kill the first entry; the balancer notices later."""
-        node = self.nodes["e0"]
-        node.frozen = self.fault == "frozen"
-        node.dead = self.fault == "killed"
+    def inject_fault(self):
+        """Freeze or kill the first entry; the load balancer detects it later."""
+        entry = self.entries["e0"]
+        entry.frozen = self.fault == "frozen"
+        entry.dead = self.fault == "killed"
 
-        def notice():
+        def detect():
             self.weights["e0"] = 0
 
         def replace():
-            self.start("e0", first=False)
+            self.start_entry("e0", first=False)
             self.weights["e0"] = 1
 
-        self.at(NOTICED_AFTER_S, notice)
-        if node.dead:
-            self.at(REPLACED_AFTER_S, replace)
+        self.call_later(FAULT_DETECTED_AFTER_S, detect)
+        if entry.dead:
+            self.call_later(REPLACED_AFTER_S, replace)
 
-    def arrive(self):
-        """Give a request to an entry and draw the time of the next."""
+    def add_request(self):
+        """Send a request to a random entry and schedule the next request."""
         rate = LOAD * len(ENDPOINTS) * SLOTS / SERVICE_S
-        self.at(self.arrivals.expovariate(rate), self.arrive)
+        self.call_later(self.arrival_rng.expovariate(rate), self.add_request)
         names = list(self.weights)
         weights = [self.weights[key] for key in names]
-        name = self.arrivals.choices(names, weights)[0]
-        work_s = self.arrivals.expovariate(1 / SERVICE_S)
-        node = self.nodes[name]
+        name = self.arrival_rng.choices(names, weights)[0]
+        work_s = self.arrival_rng.expovariate(1 / SERVICE_S)
+        entry = self.entries[name]
         self.result.sent += 1
-        if node.frozen or node.dead:
+        if entry.frozen or entry.dead:
             return
-        node.queue.append(Job(self.now, work_s))
-        self.drive(node)
+        entry.queue.append(Request(self.now, work_s))
+        self.start_queued(entry)
 
-    def drive(self, node):
-        """Start what the slots allow and ask for what is lacking."""
-        if node.frozen or node.dead:
+    def start_queued(self, entry):
+        """Start as many queued requests as there are slots, and request more slots."""
+        if entry.frozen or entry.dead:
             return
-        while node.queue:
-            if self.now - node.queue[0].arrived > DEADLINE_S:
-                node.queue.popleft()
+        while entry.queue:
+            if self.now - entry.queue[0].arrived_s > DEADLINE_S:
+                entry.queue.popleft()
                 self.result.expired += 1
                 continue
-            endpoint = self.choose(node)
+            endpoint = self.choose(entry)
             if endpoint is None:
                 break
-            node.slots.take(endpoint)
-            self.serve(node, endpoint, node.queue.popleft())
-        node.slots.want(ENDPOINTS, len(node.queue))
+            entry.slots.take(endpoint)
+            self.serve(entry, endpoint, entry.queue.popleft())
+        entry.slots.want(ENDPOINTS, len(entry.queue))
 
-    def choose(self, node):
-        """Return the less loaded of two endpoints with a free slot."""
-        free = [name for name in ENDPOINTS if node.slots.available(name) > 0]
+    def choose(self, entry):
+        """Return the less loaded of two random endpoints with a free slot, or None."""
+        free = [name for name in ENDPOINTS if entry.slots.available(name) > 0]
         if not free:
             return None
-        drawn = self.rng.sample(free, min(DRAW, len(free)))
-        return min(drawn, key=node.held.get)
+        drawn = self.rng.sample(free, min(CHOICES_DRAWN, len(free)))
+        return min(drawn, key=entry.in_flight.get)
 
-    def serve(self, node, endpoint, job):
-        """Run a request; beyond its slots an endpoint slows down."""
+    def serve(self, entry, endpoint, request):
+        """Run a request; an endpoint with more requests than slots is slower."""
         self.running[endpoint] += 1
-        node.held[endpoint] += 1
-        crowd = self.running[endpoint]
-        self.result.peak = max(self.result.peak, crowd)
-        slow = max(1.0, crowd / SLOTS)
+        entry.in_flight[endpoint] += 1
+        running_now = self.running[endpoint]
+        self.result.peak_in_flight = max(self.result.peak_in_flight, running_now)
+        slowdown = max(1.0, running_now / SLOTS)
 
         def end():
             self.running[endpoint] -= 1
-            if node.frozen or node.dead:
+            if entry.frozen or entry.dead:
                 return
-            node.held[endpoint] -= 1
-            if self.now - job.arrived <= DEADLINE_S:
+            entry.in_flight[endpoint] -= 1
+            if self.now - request.arrived_s <= DEADLINE_S:
                 self.result.answered += 1
-                self.result.waits.append(self.now - job.arrived)
-            node.slots.give_back(endpoint)
-            self.drive(node)
+                self.result.latencies_s.append(self.now - request.arrived_s)
+            entry.slots.give_back(endpoint)
+            self.start_queued(entry)
 
-        self.at(job.work_s * slow, end)
+        self.call_later(request.work_s * slowdown, end)
 
     def tick(self):
-        """Drive the timers of all entries."""
-        self.at(TICK_S, self.tick)
-        for node in list(self.nodes.values()):
-            if not node.frozen and not node.dead:
-                node.slots.tick()
-                self.drive(node)
+        """Run the timers of all entries."""
+        self.call_later(TICK_S, self.tick)
+        for entry in list(self.entries.values()):
+            if not entry.frozen and not entry.dead:
+                entry.slots.tick()
+                self.start_queued(entry)
 
 
 def summary(result):
-    """Return the figures of a run."""
-    waits = sorted(result.waits)
+    """Return a dict of figures of a RunResult."""
+    latencies_s = sorted(result.latencies_s)
     return {
         "sent": result.sent,
         "answered": result.answered,
         "goodput": round(result.answered / result.sent, 4),
-        "p50_ms": round(1000 * waits[len(waits) // 2], 1),
-        "p99_ms": round(1000 * waits[len(waits) * 99 // 100], 1),
-        "most_in_flight": result.peak,
+        "p50_ms": round(1000 * latencies_s[len(latencies_s) // 2], 1),
+        "p99_ms": round(1000 * latencies_s[len(latencies_s) * 99 // 100], 1),
+        "most_in_flight": result.peak_in_flight,
         "messages_per_request": round(result.messages / result.sent, 3),
     }
 
 
 def main():
-    """Print the figures of each way in each case, and ratios to the tokens."""
+    """Print the figures of each scheme in each case, and the ratios of tokens to it."""
     seconds = float(sys.argv[1]) if len(sys.argv) > 1 else SECONDS
     even = (1,) * ENTRIES
-    skewed = (SKEWED, *even[1:])
+    skewed = (SKEWED_WEIGHT, *even[1:])
     cases = {
         "even": (even, None),
         "skewed": (skewed, None),
@@ -288,16 +294,16 @@
     report = {}
     for case, (weights, fault) in cases.items():
         figures = {
-            way: summary(Simulation(way, weights, fault, seconds).run())
-            for way in ("tokens", "shares", "none")
+            scheme: summary(Simulation(scheme, weights, fault, seconds).run())
+            for scheme in ("tokens", "shares", "none")
         }
         tokens = figures["tokens"]
         figures["ratios"] = {
-            way: {
-                "goodput": round(tokens["goodput"] / figures[way]["goodput"], 3),
-                "p99": round(tokens["p99_ms"] / figures[way]["p99_ms"], 3),
+            scheme: {
+                "goodput": round(tokens["goodput"] / figures[scheme]["goodput"], 3),
+                "p99": round(tokens["p99_ms"] / figures[scheme]["p99_ms"], 3),
             }
-            for way in ("shares", "none")
+            for scheme in ("shares", "none")
         }
         report[case] = figures
     print(json.dumps(report, indent=1))
--- a/scripts/catalogue.py
+++ b/scripts/catalogue.py
@@ -1,6 +1,6 @@
-"""Writes docs/EVENTS.md, docs/SETTINGS.md and docs/MODULES.md from the code.
+"""Generates docs/EVENTS.md, docs/SETTINGS.md and docs/MODULES.md from the code.
 
-Usage: catalogue.py, from the root of the project; a test compares them.
+Usage: catalogue.py. A test checks that the pages are up to date.
 """
 
 import importlib
@@ -28,13 +28,13 @@
 )
 
 
-def sentence(cls):
+def first_paragraph(cls):
     """Return the first paragraph of a docstring as one line."""
     return " ".join(inspect.getdoc(cls).split("\n\n")[0].split())
 
 
 def import_all():
-    """Import every module, so that every event is registered; return them by name."""
+    """Import every module, which registers all events; return the modules by name."""
     names = [
         module.name
         for module in pkgutil.walk_packages(
@@ -45,7 +45,7 @@
 
 
 def events_page():
-    """Return docs/EVENTS.md."""
+    """Return the text of docs/EVENTS.md."""
     import_all()
     lines = [
         "# Events",
@@ -60,29 +60,36 @@
     for number, cls in sorted(journal.EVENTS.items()):
         names = ", ".join(f"`{field.name}`" for field in attrs.fields(cls))
         level = journal.logging.getLevelName(cls.LEVEL)
-        row = (str(number), cls.__name__, level, names, sentence(cls))
+        row = (str(number), cls.__name__, level, names, first_paragraph(cls))
         lines.append(f"| {' | '.join(row)} |")
     return "\n".join(lines) + "\n"
 
 
 def option_rows(cls, section=None):
-    """Yield a table row for each option of a settings or bundle class."""
+    """Yield a table row for each option of a settings or bundle class.
+
+    ``section`` is the title of the section when the fields' metadata has none.
+    """
     for field in attrs.fields(cls):
         if "allowed" not in field.metadata:
             continue
         title = section or f"[{field.metadata['section']}]"
         key = field.metadata.get("key") or field.name
-        default = "required" if field.default is attrs.NOTHING else shown(field.default)
+        default = (
+            "required"
+            if field.default is attrs.NOTHING
+            else format_default(field.default)
+        )
         yield f"| `{title}` | `{key}` | {field.metadata['allowed']} | {default} |"
 
 
-def shown(default):
-    """Return a default as text for a table."""
+def format_default(default):
+    """Return a default value as the text of a table cell."""
     return f"`{default}`" if default not in ("", ()) else "none"
 
 
 def settings_page():
-    """Return docs/SETTINGS.md."""
+    """Return the text of docs/SETTINGS.md."""
     head = ["| section | key | allowed | default |", "|---|---|---|---|"]
     lines = [
         "# Settings and bundles",
@@ -102,7 +109,7 @@
 
 
 def platform_settings():
-    """Return the lines on what ``cardamom-jobs`` reads of the platform's file."""
+    """Return the lines on the fields that ``cardamom-jobs`` reads."""
     lines = [
         "## cardamom-jobs",
         "",
@@ -121,7 +128,7 @@
 
 
 def modules_page():
-    """Return docs/MODULES.md."""
+    """Return the text of docs/MODULES.md."""
     lines = [
         "# Modules",
         "",
@@ -133,7 +140,7 @@
     ]
     for name, module in import_all().items():
         short = name.partition(".")[2]
-        lines.append(f"| `{short}` | {sentence(module)} |")
+        lines.append(f"| `{short}` | {first_paragraph(module)} |")
     return "\n".join(lines) + "\n"
 
 
@@ -145,7 +152,7 @@
 
 
 def main():
-    """Write the pages."""
+    """Write all pages."""
     for name, page in PAGES:
         (DOCS / name).write_text(page())
     return 0
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,9 +1,9 @@
 #!/bin/sh
-# Runs the whole path on loopback: platform, endpoints, two entries, two controls.
+# Runs the whole system on loopback: platform, endpoints, two entries, two controls.
 # A bundle is published, signed off and rolled; a wave runs under load; a table shows
-# what callers were told and what the endpoints counted. Beside it jobs run on the
-# emulated platform while the first of two nodes is ended. Ends with 1 on a broken
-# promise.
+# the outcomes of the requests and the counts of the endpoints. Meanwhile jobs run on
+# the emulated platform while the first of two nodes is ended. Exits with 1 when a
+# check fails.
 set -eu
 PYTHON=${PYTHON:-python3}
 OUT=${OUT:-out/demo}
@@ -13,14 +13,14 @@
 PIDS=""
 mkdir -p "$OUT"
 
-begin() {
+start_program() {
     name=$1
     shift
     "$PYTHON" -m "cardamomgrade.$@" 2>"$OUT/$name.log" &
     PIDS="$! $PIDS"
 }
 
-begin_node() {
+start_node() {
     CARDAMOMGRADE_BOOT="$OUT/jobs/n$1.yaml" "$PYTHON" -m cardamomgrade.jobsd \
         >"$OUT/node-$1.log" 2>&1 &
     PIDS="$! $PIDS"
@@ -30,12 +30,12 @@
     CARDAMOMGRADE_BOOT="$OUT/jobs/n2.yaml" "$PYTHON" -m cardamomgrade.ctl job "$@"
 }
 
-# Submits jobs, ends the node that schedules, and waits until all are completed.
+# Submits jobs, ends the node that schedules them and waits until all are completed.
 run_jobs() {
-    begin_node 1
+    start_node 1
     FIRST=$!
     sleep 3
-    begin_node 2
+    start_node 2
     for number in $(seq "$JOBS"); do
         job submit notices examples/jobs/notice.json --id "00000000000000a$number" \
             >"$OUT/submitted.txt"
@@ -49,13 +49,13 @@
     return 1
 }
 
-end_all() {
+stop_all() {
     for pid in $PIDS; do
         kill "$pid" 2>/dev/null || true
         wait "$pid" 2>/dev/null || true
     done
 }
-trap end_all EXIT
+trap stop_all EXIT
 
 ctl() {
     operator=$1
@@ -74,14 +74,14 @@
 
 "$PYTHON" scripts/demo_settings.py "$OUT"
 rm -rf "$OUT/jobs"
-begin emulator emulator.program "$OUT/jobs" --nodes 2 >"$OUT/emulator.txt"
-begin platform standin "$OUT/platform.ini"
+start_program emulator emulator.program "$OUT/jobs" --nodes 2 >"$OUT/emulator.txt"
+start_program platform standin "$OUT/platform.ini"
 for zone in agdal hay-riad souissi temara; do
-    begin "zone-$zone" standin "$OUT/zone-$zone.ini"
+    start_program "zone-$zone" standin "$OUT/zone-$zone.ini"
 done
 for number in 1 2; do
-    begin "entry-$number" entry "examples/agence/entry-$number.ini"
-    begin "control-$number" control "examples/agence/control-$number.ini"
+    start_program "entry-$number" entry "examples/agence/entry-$number.ini"
+    start_program "control-$number" control "examples/agence/control-$number.ini"
 done
 sleep 2
 release "$OUT/bundle-1.ini"
--- a/scripts/demo_jobs.py
+++ b/scripts/demo_jobs.py
@@ -1,7 +1,8 @@
-"""Tells whether all jobs of the demo are completed, and prints where they ran.
+"""Checks that all jobs of the demo are completed, and prints their numbers.
 
 Usage: demo_jobs.py LIST.json EXPECTED: the output of ``cardamomctl job list --json``
-and the number of jobs. Ends with 1 unless each of them is completed.
+and the number of jobs. Exits with 1 unless exactly that many jobs are listed and all
+of them are completed.
 """
 
 import json
@@ -10,7 +11,7 @@
 
 
 def main(path, expected):
-    """Print the jobs' states; return the exit code."""
+    """Print the numbers of completed jobs and tasks; return the exit status."""
     jobs = json.loads(Path(path).read_text())
     completed = [item for item in jobs if item["state"] == "completed"]
     tasks = sum(item["done"] for item in completed)
--- a/scripts/demo_settings.py
+++ b/scripts/demo_settings.py
@@ -1,7 +1,7 @@
-"""Writes the settings of a demo run from the Agence's examples.
+"""Writes the settings of a demo run, derived from examples/agence.
 
-Usage: demo_settings.py FOLDER. The endpoints of a zone share one process; the second
-bundle raises the round of the wave on two pools.
+Usage: demo_settings.py FOLDER. All endpoints of a zone run in one process. The second
+bundle starts a wave on two pools by raising the wave's round.
 """
 
 import configparser
@@ -14,7 +14,7 @@
 
 
 def read(path):
-    """Return an INI file as a parser that keeps the case of names."""
+    """Return a ConfigParser of an INI file; names keep their case."""
     parser = configparser.ConfigParser(interpolation=None)
     parser.optionxform = str
     parser.read_string(path.read_text())
@@ -22,13 +22,13 @@
 
 
 def write(path, parser):
-    """Write a parser to a file."""
+    """Write a ConfigParser to a file."""
     with path.open("w") as file:
         parser.write(file)
 
 
 def split_endpoints(folder):
-    """Write the platform's settings and one file of endpoints a zone."""
+    """Write the platform's settings, the endpoints by zone and their addresses."""
     standin = read(EXAMPLES / "standin.ini")
     zones = {}
     for name, text in standin["vms"].items():
@@ -47,7 +47,7 @@
 
 
 def next_bundle(folder):
-    """Write the bundle that runs a small wave."""
+    """Write the first bundle and the second one, which starts a small wave."""
     bundle = read(EXAMPLES / "bundle.ini")
     (folder / "bundle-1.ini").write_text((EXAMPLES / "bundle.ini").read_text())
     bundle["bundle"]["version"] = "2"
--- a/scripts/demo_table.py
+++ b/scripts/demo_table.py
@@ -1,6 +1,6 @@
-"""Prints the table of a demo run and ends with 1 when a promise broke.
+"""Prints the table of a demo run; exits with 1 on a late roll-out or unfinished wave.
 
-Usage: demo_table.py FOLDER, with the files that demo.sh left there.
+Usage: demo_table.py FOLDER, with the files that demo.sh wrote there.
 """
 
 import configparser
@@ -15,31 +15,36 @@
 
 
 def in_force_delays(folder):
-    """Return the ms from the log's time of a roll to in force at each node."""
-    seen = []
+    """Return the ms from each roll until it is in force, for each node and bundle.
+
+    Only some events have ``delay_ms``; it gives the time of the roll in the log.
+    """
+    events = []
     for path in folder.glob("*.log"):
         lines = path.read_text().splitlines()
-        seen += [json.loads(line) for line in lines if IN_FORCE_EVENT in line]
-    rolled = {
+        events += [json.loads(line) for line in lines if IN_FORCE_EVENT in line]
+    roll_time_ms = {
         event["offset"]: event["time"] * 1000 - event["delay_ms"]
-        for event in seen
+        for event in events
         if "delay_ms" in event
     }
-    return [round(event["time"] * 1000 - rolled[event["offset"]]) for event in seen]
+    return [
+        round(event["time"] * 1000 - roll_time_ms[event["offset"]]) for event in events
+    ]
 
 
 def spare_vms(folder):
-    """Return how many VMs stand above the services' budgets."""
+    """Return the number of VMs beyond the sum of the services' ``min_serving``."""
     bundle = configparser.ConfigParser(interpolation=None)
     bundle.read_string((folder / "bundle-2.ini").read_text())
     names = bundle.sections()
     vms = sum(name.startswith("vm ") for name in names)
-    needed = sum(
+    required = sum(
         bundle.getint(name, "min_serving")
         for name in names
         if name.startswith("service ")
     )
-    return vms - needed
+    return vms - required
 
 
 def main():
--- a/src/cardamomgrade/standin.py
+++ b/src/cardamomgrade/standin.py
@@ -38,7 +38,9 @@
     for section in parser.sections():
         if section not in SECTIONS:
             allowed = ", ".join(SECTIONS)
-            raise SettingsError(f"{path}: unknown [{section}]; allowed: {allowed}")
+            raise SettingsError(
+                f"{path}: unknown section [{section}]; allowed: {allowed}"
+            )
     try:
         listen = parser.get("standin", "listen", fallback="")
         return StandinSettings(
@@ -60,7 +62,9 @@
 def _parse_vm(key, text):
     parts = text.split()
     if len(parts) != 4 or parts[0] not in (KIND_ENDPOINT, KIND_ENTRY):
-        raise ValueError(f"[vms] {key} = {text!r}; allowed: kind zone rack ip:port")
+        raise ValueError(
+            f"[vms] {key} = {text!r}; allowed: endpoint|entry zone rack ip:port"
+        )
     return ListedVm(name(key), parts[0], parts[1], parts[2], address(parts[3]))
 
 
