--- a/tests/environment.py
+++ b/tests/environment.py
@@ -1,4 +1,4 @@
-"""Makes tests/harness.py importable and ends what a scenario left running."""
+"""Behave hooks: makes tests/harness.py importable, ends processes after scenarios."""
 
 import sys
 from pathlib import Path
--- a/tests/harness.py
+++ b/tests/harness.py
@@ -1,4 +1,4 @@
-"""Runs a loop inside a test and programs of the package as processes."""
+"""Helpers that run an event loop in a test and the package's programs as processes."""
 
 import itertools
 import json
@@ -22,7 +22,7 @@
 
 
 class Rig:
-    """A loop with a net that a test runs until a condition holds."""
+    """An event loop with a net, run by a test until a condition holds."""
 
     def __init__(self):
         self.loop = Loop()
@@ -46,46 +46,47 @@
         timer = self.loop.call_later(limit_s, expire)
         self.loop.run()
         timer.cancel()
-        assert not expired, "the condition did not hold in time"
+        assert not expired, "timed out waiting for the condition"
 
     def run_for(self, seconds):
-        """Run the loop for a while."""
+        """Run the loop for ``seconds``."""
         self.loop.call_later(seconds, self.loop.finish)
         self.loop.run()
 
 
-# Ports below the ephemeral range of Linux (32768 and up): an outgoing connection of
-# another test cannot take one between the pick and the bind.
-PORTS_FIRST = 10_240
-PORTS_PER_PROCESS = 512
-PORT_SLOTS = 43
+# Every port is below the ephemeral range of Linux (32768 and up), so that an outgoing
+# connection of another test cannot take one between free_port() and the bind.
+FIRST_PORT = 10_240
+PORTS_PER_RANGE = 512
+PORT_RANGES = 43
 
 
-def _claim_slot():
-    """Return (socket, ports) of a slot that no other test process holds.
+def _reserve_range():
+    """Return (socket, iterator of ports) of a range that no other test process uses.
 
-    The socket listens on the slot's first port until this process ends.
+    The socket listens on the first port of the range until this process ends, which
+    keeps other test processes from reserving the same range.
     """
-    for number in range(PORT_SLOTS):
-        slot = (os.getpid() + number) % PORT_SLOTS
-        base = PORTS_FIRST + slot * PORTS_PER_PROCESS
-        claim = socket.socket()
+    for number in range(PORT_RANGES):
+        index = (os.getpid() + number) % PORT_RANGES
+        lock_port = FIRST_PORT + index * PORTS_PER_RANGE
+        lock = socket.socket()
         try:
-            claim.bind(("127.0.0.1", base))
-            claim.listen(1)
+            lock.bind(("127.0.0.1", lock_port))
+            lock.listen(1)
         except OSError:
-            claim.close()
+            lock.close()
             continue
-        return claim, itertools.cycle(range(base + 1, base + PORTS_PER_PROCESS))
-    raise RuntimeError(f"{PORT_SLOTS} test processes hold all ports")
+        return lock, itertools.cycle(range(lock_port + 1, lock_port + PORTS_PER_RANGE))
+    raise RuntimeError(f"all {PORT_RANGES} port ranges are in use by test processes")
 
 
-_claim, _ports = _claim_slot()
+_range_lock, _range_ports = _reserve_range()
 
 
 def free_port():
-    """Return a TCP port of 127.0.0.1 that is free now, of this process's own range."""
-    for port in itertools.islice(_ports, PORTS_PER_PROCESS):
+    """Return a TCP port in this process's range that is free now on 127.0.0.1."""
+    for port in itertools.islice(_range_ports, PORTS_PER_RANGE):
         with socket.socket() as sock:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
@@ -93,7 +94,7 @@
             except OSError:
                 continue
             return port
-    raise RuntimeError("no free port")
+    raise RuntimeError("no free TCP port in the range of this test process")
 
 
 def free_address():
@@ -102,17 +103,20 @@
 
 
 def start(module, *args, log=None, env=None):
-    """Start ``python -m cardamomgrade.MODULE`` and return its Popen."""
+    """Start ``python -m cardamomgrade.MODULE`` and return its Popen.
+
+    ``log`` is a file for stderr; ``env`` are additional environment variables.
+    """
     return _start(["-m", f"cardamomgrade.{module}", *args], log, env)
 
 
 def start_script(name, *args):
-    """Start a script of the scripts folder and return its Popen."""
+    """Start a script in the scripts folder and return its Popen."""
     return _start([str(ROOT / "scripts" / name), *args], None)
 
 
-def _start(arguments, log, more=None):
-    env = dict(os.environ, PYTHONPATH=str(ROOT / "src"), **(more or {}))
+def _start(arguments, log, extra_env=None):
+    env = dict(os.environ, PYTHONPATH=str(ROOT / "src"), **(extra_env or {}))
     process = subprocess.Popen(
         [sys.executable, *arguments],
         cwd=ROOT,
@@ -125,7 +129,7 @@
 
 
 def end_processes():
-    """End every process that ``start`` started."""
+    """Kill every process that ``start`` or ``start_script`` started."""
     while _PROCESSES:
         process = _PROCESSES.pop()
         if process.poll() is None:
@@ -135,25 +139,28 @@
 
 
 def wait_for(condition, limit_s=RUN_LIMIT_S):
-    """Poll ``condition()`` until it is true and return its value."""
-    end = time.monotonic() + limit_s
-    while time.monotonic() < end:
+    """Poll until ``condition()`` is true; return its value, fail after ``limit_s``."""
+    deadline = time.monotonic() + limit_s
+    while time.monotonic() < deadline:
         value = condition()
         if value:
             return value
         time.sleep(POLL_S)
-    raise AssertionError("the condition did not hold in time")
+    raise AssertionError("timed out waiting for the condition")
 
 
 def listening(address):
-    """Return whether something accepts connections at ``ip:port``."""
+    """Return whether a TCP connection to ``ip:port`` succeeds."""
     host, _, port = address.rpartition(":")
     with socket.socket() as sock:
         return sock.connect_ex((host, int(port))) == 0
 
 
 def http(address, path, body=None, headers=None, method=None):
-    """Send one request by urllib; return (status, headers, body bytes)."""
+    """Send one request with urllib; return (status, headers, body bytes).
+
+    A dict as ``body`` is sent as JSON.
+    """
     data = json.dumps(body).encode() if isinstance(body, dict) else body
     req = urllib.request.Request(
         f"http://{address}{path}", data, headers or {}, method=method
--- a/tests/system.py
+++ b/tests/system.py
@@ -1,4 +1,7 @@
-"""Platform, endpoints, three entries and three controls as processes, under load."""
+"""The whole system under load: stand-ins, three entries and three controls.
+
+All of them run as processes of their own; the load runs in the test's process.
+"""
 
 import signal
 from pathlib import Path
@@ -21,8 +24,8 @@
 
 SEATS = ("e1", "e2", "e3")
 KEY = "a-shared-key-for-tests"
-RATE = 40.0
-SECONDS = 14.0
+RATE_PER_S = 40.0
+LOAD_S = 14.0
 WORK_MS = 30.0
 WAVE_AFTER_S = 1.0
 WAVE_LIMIT_S = 60.0
@@ -31,7 +34,7 @@
 
 
 class Whole:
-    """The processes of one scenario; racks are processes of endpoints."""
+    """The processes of one scenario; the endpoints of a rack share one process."""
 
     def __init__(self, folder):
         self.rig = Rig()
@@ -45,7 +48,7 @@
         self.report = None
 
     def begin(self):
-        """Start every process and roll a first bundle."""
+        """Start every process, roll a first bundle and wait until the entries serve."""
         self._start_platform()
         for rack in range(1, VMS_PER_POOL + 1):
             self.start_rack(rack)
@@ -82,13 +85,13 @@
         self.faults(lag_ms=300, reboot_ms=300)
 
     def start_rack(self, rack):
-        """Start the endpoints of one rack."""
+        """Start the process of one rack's endpoints."""
         names = [vm for vm in self.vms if vm.endswith(str(rack))]
         lines = ["[endpoints]", *(f"{vm} = {self.vms[vm]}" for vm in names)]
         self._start(f"rack-{rack}", "standin", "\n".join(lines) + "\n")
 
     def start_entry(self, seat):
-        """Start the entry of a seat, also in place of one that has ended."""
+        """Start the entry of a seat, or a replacement for one that has ended."""
         peers = "".join(f"{name} = {x}\n" for name, x in self.mesh.items())
         self._start(
             f"entry-{seat}",
@@ -101,7 +104,7 @@
         )
 
     def start_control(self, seat):
-        """Start the control beside an entry."""
+        """Start the control on the node of a seat."""
         self._start(
             f"control-{seat}",
             "control",
@@ -111,17 +114,17 @@
         )
 
     def faults(self, **values):
-        """Set faults of the platform."""
+        """Set faults to inject in the platform stand-in."""
         http(self.platform, "/faults", values)
 
     def signal(self, name, signo):
-        """Send a signal to a process; one that is killed is waited for."""
+        """Send a signal to a process; after SIGKILL, wait for its end."""
         self.processes[name].send_signal(signo)
         if signo == signal.SIGKILL:
             self.processes[name].wait()
 
     def later(self, seconds, callback):
-        """Call back after ``seconds`` of the load."""
+        """Run ``callback`` in ``seconds``."""
         self.rig.loop.call_later(seconds, callback)
 
     def _call(self, req):
@@ -134,7 +137,7 @@
         return results[0]
 
     def roll(self, version, round_):
-        """Propose, sign off and roll a bundle whose wave has a round."""
+        """Propose, sign off and roll a bundle whose wave has the given round."""
         records = self._roll_records(version, round_)
         self._call(append_request("fleet", records))
 
@@ -156,21 +159,24 @@
         ]
 
     def run_load(self):
-        """Send the load, roll the wave in its course and judge every answer."""
+        """Send the load, start a wave during it and set ``report`` from the outcomes.
+
+        The wave starts when the bundle with the next round is rolled.
+        """
         done = []
         plan = LoadPlan(
             tuple(self.callers.values()),
             ("/a", "/b"),
             tuple(self.vms.values()),
-            RATE,
-            SECONDS,
+            RATE_PER_S,
+            LOAD_S,
             7,
             WORK_MS,
         )
         run = LoadRun(self.rig.loop, self.rig.net, plan, lambda: done.append(True))
         self.rig.run_for(WAVE_AFTER_S)
         self.roll(2, 1)
-        self.rig.run_until(lambda: done, SECONDS + 30)
+        self.rig.run_until(lambda: done, LOAD_S + 30)
         done.clear()
         counts = RunCounts(
             self.rig.loop, self.rig.net, plan.endpoints, lambda: done.append(True)
@@ -179,17 +185,17 @@
         self.report = report(run.requests, counts)
 
     def records(self):
-        """Return the records of the fleet stream as of now."""
+        """Return the current records of the fleet stream."""
         response = self._call(log_request("fleet", 0))
         return [decode_record(data) for _, _, data in parse_read(response)[1]]
 
     def wave_done(self):
-        """Return whether every VM of the wave's pool has joined again."""
+        """Return whether every VM of the wave's pool has rejoined."""
         joined = {item.vm for item in self.records() if isinstance(item, VmJoined)}
         return joined == {vm for vm in self.vms if vm.startswith("a")}
 
     def drained(self):
-        """Return whether a drain has started."""
+        """Return whether any drain has started."""
         return any(isinstance(item, DrainStarted) for item in self.records())
 
 
