--- a/src/cardamomgrade/emulator/executor.py
+++ b/src/cardamomgrade/emulator/executor.py
@@ -27,8 +27,8 @@
 
     ``plan(task)`` returns a new run's (duration in ms or None, outcome), and
     ``trace(kind, executor, task, run)`` is called for every start and end. ``token``
-    is the highest fencing token received. ``newest_run`` has the highest run number of
-    each task that ended or was stopped.
+    is the highest fencing token received. ``highest_ended_run`` maps a task to the
+    highest number of a run that ended or was stopped.
     """
 
     name: str
@@ -37,7 +37,7 @@
     token: int = 0
     deadline_ms: float = 0.0
     runs: dict = attrs.field(factory=dict)
-    newest_run: dict = attrs.field(factory=dict)
+    highest_ended_run: dict = attrs.field(factory=dict)
     ends: list = attrs.field(factory=list)
     next_end: int = 1
 
@@ -52,7 +52,9 @@
 
     def _end(self, item, outcome):
         del self.runs[item.task]
-        self.newest_run[item.task] = max(item.run, self.newest_run.get(item.task, 0))
+        self.highest_ended_run[item.task] = max(
+            item.run, self.highest_ended_run.get(item.task, 0)
+        )
         self.ends.append([self.next_end, item.task, item.run, outcome, ""])
         self.next_end += 1
         self.trace(outcome, self.name, item.task, item.run)
@@ -74,7 +76,7 @@
         current = self.runs.get(task)
         if current is not None and current.run == run:
             return ""
-        if run <= self.newest_run.get(task, 0) or current is not None:
+        if run <= self.highest_ended_run.get(task, 0) or current is not None:
             return "old"
         duration_ms, outcome = self.plan(task)
         end_ms = None if duration_ms is None else now_ms + duration_ms
@@ -87,7 +89,7 @@
         self.end_due_runs(now_ms)
         if self._is_fenced(token):
             return "fence"
-        self.newest_run[task] = max(run, self.newest_run.get(task, 0))
+        self.highest_ended_run[task] = max(run, self.highest_ended_run.get(task, 0))
         current = self.runs.get(task)
         if current is not None and current.run == run:
             self._end(current, STOPPED)
--- a/src/cardamomgrade/jobctl.py
+++ b/src/cardamomgrade/jobctl.py
@@ -61,7 +61,7 @@
 @click.argument("name", metavar="JOB")
 @click.pass_obj
 def show_job(path, name, as_json):
-    """Show a job's state and the newest run of each of its tasks."""
+    """Show a job's state and the latest run of each of its tasks."""
     with _session(path) as session:
         details = job_details(session.view, name)
     if details is None:
--- a/src/cardamomgrade/jobs/agent.py
+++ b/src/cardamomgrade/jobs/agent.py
@@ -37,7 +37,7 @@
 
 @event(607)
 class OrderAnswered:
-    """An executor did not accept an order."""
+    """An executor refused a start order, or gave no answer to it."""
 
     executor: str
     order: str
@@ -57,7 +57,7 @@
 
 @event(609)
 class RunMissing:
-    """An executor reports a run that it accepted neither as running nor as ended."""
+    """A run that an executor accepted is reported neither as running nor as ended."""
 
     executor: str
     task: str
@@ -80,7 +80,7 @@
 
 
 class ExecutorAgent:
-    """Renews the lease of one executor while runs are placed on it.
+    """Sends orders to one executor and renews its lease while it has runs.
 
     ``driver`` has the callbacks ``on_runs_ended``, ``on_executor_gone``,
     ``on_lease_lapsed``, ``on_run_withdrawn``, ``on_run_missing``,
--- a/src/cardamomgrade/jobs/driver.py
+++ b/src/cardamomgrade/jobs/driver.py
@@ -25,8 +25,8 @@
 from .writer import Writer
 
 PLAN_DELAY_S = 0.02  # decisions made within this time share one append
-TICK_S = 0.15  # checks for due occurrences and for executors whose backoff ended
-DURATIONS_SAVE_INTERVAL_S = 2.0  # a change of scheduler loses at most this much
+TICK_S = 0.15  # interval of checks for due occurrences and for ended backoffs
+DURATIONS_SAVE_INTERVAL_S = 2.0  # a new scheduler lacks at most the runs of this time
 REFUSAL_BACKOFF_MS = 1000  # an executor that refused a start is retried after this
 JOB_RETENTION_MARGIN_S = 30.0  # beyond status_ms, in which callers may query a job
 EPOCH_SPREAD_S = 1.0  # until every executor has received the new epoch
@@ -43,7 +43,7 @@
 
 @event(612)
 class PaceOrdered:
-    """The pace of a fill task was changed to ``percent`` of full speed.
+    """A fill task was ordered to run at ``percent`` of full speed.
 
     Fill tasks use the capacity that serving tasks on the same executor leave.
     """
--- a/src/cardamomgrade/jobs/entry.py
+++ b/src/cardamomgrade/jobs/entry.py
@@ -12,7 +12,7 @@
 from .spec import JobSpec
 from .store import Appended, AppendFate
 
-STALE_S = 2.0  # no answers from an older copy; must stay below visible_ms
+STALE_S = 2.0  # no states or counts from an older copy; must stay below visible_ms
 APPEND_TIMEOUT_S = 1.0  # a third of a caller's deadline
 RETRY_AFTER_S = 1
 MS = 1000
--- a/src/cardamomgrade/jobs/follow.py
+++ b/src/cardamomgrade/jobs/follow.py
@@ -68,7 +68,7 @@
 
     @property
     def failing(self):
-        """Whether the last call to the store failed."""
+        """Whether the last read of the topic failed."""
         return self._failing
 
     def age(self):
--- a/src/cardamomgrade/jobs/pools.py
+++ b/src/cardamomgrade/jobs/pools.py
@@ -11,7 +11,7 @@
 from .reports import STATE_UP
 
 IDLE_TIMEOUT_S = 1.0  # a VM idle this long mostly stays idle until the next burst
-JOIN_TIMEOUT_S = 6.0  # a move that takes longer no longer counts
+JOIN_TIMEOUT_S = 6.0  # then the VM no longer counts towards the pool that it joins
 MIN_POOL_VMS = 2  # one may fail or be in upkeep
 REFUSED_RETRY_S = 5.0  # delay before a refused move is retried
 
@@ -44,7 +44,7 @@
 
 @attrs.frozen
 class Move:
-    """Order to move a VM to a pool; ends the incarnation ``executor`` unless ""."""
+    """Order to move a VM; ``executor`` is the incarnation that it ends, or ""."""
 
     vm: str
     pool: str
--- a/src/cardamomgrade/jobs/progress.py
+++ b/src/cardamomgrade/jobs/progress.py
@@ -44,7 +44,7 @@
 
 @attrs.define(eq=False)
 class StepState:
-    """The tasks of one step of one occurrence, with counts of those not finished."""
+    """The tasks of one step and occurrence; counts the unfinished and waiting ones."""
 
     occurrence: int
     number: int
--- a/src/cardamomgrade/jobs/reports.py
+++ b/src/cardamomgrade/jobs/reports.py
@@ -30,9 +30,10 @@
     """Result of an order to an executor.
 
     ``TAKEN``: accepted; ``FENCED``: the executor has received a newer epoch;
-    ``WRONG_LIFE``: another incarnation answers at the address; ``NOT_DONE``: not
-    carried out, now or later; ``NO_ANSWER``: may have been carried out, or may still
-    be.
+    ``OUTDATED``: the task already runs there, or this run of it is over; ``LATE``: the
+    lease deadline in the order has passed; ``WRONG_LIFE``: another incarnation answers
+    at the address; ``NOT_DONE``: not carried out, now or later; ``NO_ANSWER``: may have
+    been carried out, or may still be.
     """
 
     TAKEN = "taken"
--- a/src/cardamomgrade/jobs/scheduler.py
+++ b/src/cardamomgrade/jobs/scheduler.py
@@ -33,7 +33,7 @@
 FAILURE_STREAK_JOBS = 2  # a healthy executor rarely fails two jobs' tasks in a row
 QUARANTINE_MIN_MS = 4000  # each retry of a faulty executor costs one task
 QUARANTINE_MAX_MS = 30_000
-QUARANTINE_POOL_FRACTION = 0.5  # more failing at once points at the queue's tasks
+QUARANTINE_POOL_FRACTION = 0.5  # if more executors fail, the tasks are at fault
 MS = 1000
 
 
@@ -61,8 +61,8 @@
 class Scheduler:
     """Unfinished jobs, known executors, and the assignment of tasks to executors.
 
-    ``newly_used_executors`` holds the names of executors that got their first run in
-    this term, so that no earlier scheduler has runs there.
+    ``newly_used_executors`` holds the names of executors that had no runs when this
+    term placed one on them, so that no earlier scheduler has runs there.
     """
 
     def __init__(self, cfg):
@@ -268,11 +268,13 @@
             self.end(name, task, run, Outcome.LAPSED, "", now_ms, confirmed=False)
 
     def end(self, name, task_name, run, outcome, checkpoint, now_ms, confirmed=True):
-        """Record the end of a run; return False if it is not the task's latest run.
+        """Record the end of a run; return whether it was applied to its task.
 
-        ``confirmed`` means that the end is known from the executor itself. An executor
-        that was unreachable may report, after its runs were marked lapsed, that one of
-        them had ended before: its task then need not start again.
+        It is not applied if the task is unknown or started again since, or if an end of
+        the run was confirmed before. ``confirmed`` means that the end is known from the
+        executor itself. An executor that was unreachable may report, after its runs
+        were marked lapsed, that one of them had ended before: its task then need not
+        start again.
         """
         executor = self.executors.get(name)
         allocation = (
@@ -316,15 +318,15 @@
             self._health.succeeded(executor.name)
         elif outcome is Outcome.FAILED:
             service = executor.entry.service
-            until = self._health.failed(
+            until_ms = self._health.failed(
                 executor.name,
                 service,
                 task.id.job,
                 len(self._pools.get(service, ())),
                 now_ms,
             )
-            if until is not None:
-                note(ExecutorAside(executor.name, service, int(until - now_ms)))
+            if until_ms is not None:
+                note(ExecutorAside(executor.name, service, int(until_ms - now_ms)))
 
     def _find_run(self, task_name, run):
         task_id = parse_task(task_name)
@@ -377,7 +379,9 @@
         ``now_ms`` is a monotonic time, ``wall_ms`` is ms since the Unix epoch.
         """
         expired = [
-            name for name, until in self._paused_until_ms.items() if until <= now_ms
+            name
+            for name, until_ms in self._paused_until_ms.items()
+            if until_ms <= now_ms
         ]
         for name in expired:
             del self._paused_until_ms[name]
@@ -399,7 +403,7 @@
             steps = job.ready_steps()
             if steps:
                 forecast = self._forecast(job, wall_ms)
-                ready.append((self._order(job, forecast), job, steps, forecast))
+                ready.append((self._sort_key(job, forecast), job, steps, forecast))
         executors = [
             item
             for item in self.pool(service)
@@ -438,7 +442,7 @@
             lasting=job.spec.lasting,
         )
 
-    def _order(self, job, forecast):
+    def _sort_key(self, job, forecast):
         queue = self.cfg.queue(job.spec.queue)
         priority = queue.priority if queue is not None else 0
         return order_key(forecast, priority, (job.spec.accepted_ms, job.spec.job))
--- a/src/cardamomgrade/jobs/session.py
+++ b/src/cardamomgrade/jobs/session.py
@@ -7,7 +7,7 @@
 from .store import Appended, AppendFate
 from .view import JobView
 
-LOAD_TIMEOUT_S = 8.0  # enough for a store 60 times slower, read page by page
+LOAD_TIMEOUT_S = 8.0  # enough for a store 60 times slower than usual, page by page
 APPEND_TIMEOUT_S = 2.0
 
 
--- a/src/cardamomgrade/jobs/term.py
+++ b/src/cardamomgrade/jobs/term.py
@@ -73,10 +73,10 @@
     def on_term_record(self, record, now):
         """Update the epoch and restart the timer after reading a TermRecord."""
         self.epoch = max(self.epoch, record.epoch)
-        from_previous_run = (
+        from_previous_incarnation = (
             record.node == self._node and record.incarnation != self._incarnation
         )
-        self.term_ended = record.resigned or from_previous_run
+        self.term_ended = record.resigned or from_previous_incarnation
         self._restart_timer(now)
 
     def on_store_unreachable(self):
--- a/src/cardamomgrade/jobs/upkeep.py
+++ b/src/cardamomgrade/jobs/upkeep.py
@@ -4,9 +4,9 @@
 
 Load pattern: half of all VMs are due within half a minute, while each queue in turn
 exceeds the capacity of its pool. VMs are closed to new runs shortly before their
-upkeep, those with the fewest runs in the pool with the fewest draining VMs first. A VM
-is taken down once no finite task runs on it, whose work would be lost, or after
-DRAIN_TIMEOUT_S.
+upkeep: first in the pool with the fewest draining VMs, and there the VM with the fewest
+runs. A VM is taken down once no finite task runs on it, whose work would be lost, or
+after DRAIN_TIMEOUT_S.
 """
 
 import attrs
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class OrderedUpkeep:
-    """An ordered upkeep; ends the incarnation ``executor`` unless ""."""
+    """An ordered upkeep; ``executor`` is the incarnation that it ends, or ""."""
 
     executor: str
     ordered_at: float
--- a/src/cardamomgrade/jobs/vms.py
+++ b/src/cardamomgrade/jobs/vms.py
@@ -30,7 +30,7 @@
 
 @event(611)
 class UpkeepOrdered:
-    """The platform answered the order of a VM's upkeep with ``result``."""
+    """The upkeep of a VM was ordered; ``result`` is a VmOrderResult."""
 
     vm: str
     wave: int
@@ -40,7 +40,7 @@
 
 @event(614)
 class MoveOrdered:
-    """The platform answered the order to move a VM with ``result``."""
+    """A VM was ordered to move to ``pool``; ``result`` is a VmOrderResult."""
 
     vm: str
     pool: str
@@ -183,7 +183,7 @@
         self._writer.store([*items, (key, record)], stored)
 
     def _plan_moves(self, now, wave_vms):
-        """Order moves between pools; return the executors that open moves end."""
+        """Order moves between pools; return the executors that pending moves end."""
         excluded = wave_vms | self._upkeep_in_flight | self._locked_vms()
         loads = self._scheduler.pool_loads(now * MS)
         for move in self._pools.plan(loads, self._vms_by_name, now, excluded):
--- a/src/cardamomgrade/platform/executor.py
+++ b/src/cardamomgrade/platform/executor.py
@@ -139,9 +139,9 @@
     def renew(self, deadline_ms, stored_end, wait_ms, on_done):
         """Renew the lease until ``deadline_ms`` of the executor's clock.
 
-        Calls ``on_done(LeaseReport | OrderAnswer)``. Without a deadline (None) the call
-        only gets a report. ``stored_end`` acknowledges ends of runs up to that number;
-        the executor waits up to ``wait_ms`` for another end before it answers.
+        Calls ``on_done(LeaseReport | OrderAnswer)``. A deadline of None does not renew
+        the lease. ``stored_end`` acknowledges ends of runs up to that number; the
+        executor waits up to ``wait_ms`` for another end before it answers.
         """
         fields = {"ackIndex": stored_end}
         if deadline_ms is not None:
--- a/src/cardamomgrade/platform/store.py
+++ b/src/cardamomgrade/platform/store.py
@@ -164,7 +164,9 @@
     if res.status == 200:
         return Appended(_int_field(res.body, "offset") or 0)
     if res.status == 412:
-        return AppendFailed(AppendFate.MOVED_ON, "the topic has another end")
+        return AppendFailed(
+            AppendFate.MOVED_ON, "the topic does not end at the offset given"
+        )
     if res.status == 409:
         fenced = b"fenced" in res.body
         fate = AppendFate.FENCED if fenced else AppendFate.OUT_OF_SEQUENCE
--- a/tests/jobs/commands.feature
+++ b/tests/jobs/commands.feature
@@ -35,5 +35,5 @@
     When the emulated platform is terminated
     Then "list" exits 3 printing "does not answer"
 
-  Scenario: a missing settings file is named
+  Scenario: settings that cannot be used are named
     Then the jobs commands exit 2 naming the missing settings file
--- a/tests/jobs/node.feature
+++ b/tests/jobs/node.feature
@@ -53,20 +53,20 @@
     When the scheduling node is killed while a job runs
     Then the other node shows the job as completed
     And each of its 4 tasks ended done once
-    And an executor has received a higher fencing token
+    And the executors have received a higher fencing token
 
-  Scenario: a replaced scheduler becomes a follower when its next append is fenced
+  Scenario: a scheduler that was replaced can neither store records nor start runs
     Given 2 nodes on an emulated platform with 2 executors
     When another node begins a term with a higher epoch
-    Then the old scheduler becomes a follower
+    Then the old scheduler becomes a follower after its next append
 
   Scenario: tasks of an unresponsive executor restart once its lease has lapsed
     Given 1 nodes on an emulated platform with 2 executors
     When one executor stops responding while it runs tasks of a job
     Then node 1 shows the job as completed
-    And no run of a task was started twice
+    And no task ran twice at the same time under a lease
 
-  Scenario: an executor's new incarnation at the same address replaces the old one
+  Scenario: an executor's new incarnation at the same address ends the old one at once
     Given 1 nodes on an emulated platform with 2 executors
     When another incarnation takes over one executor's address
     Then node 1 shows the job as completed
@@ -93,7 +93,7 @@
   Scenario: a wave reboots each VM once and is reported as completed
     Given 1 nodes on an emulated platform with 3 executors
     When an operator requests a wave of all VMs, at most 1 at once
-    Then each VM had its upkeep once and the wave is completed
+    Then each VM had its upkeep once, never 2 at once, and the wave is completed
 
   Scenario: a pool without enough capacity gets VMs from the standby pool
     Given 1 nodes on an emulated platform with 1 executors
--- a/tests/jobs/term.feature
+++ b/tests/jobs/term.feature
@@ -1,6 +1,6 @@
 Feature: election of the node that schedules
 
-  Scenario: a node becomes a candidate after reading no term record for the timeout
+  Scenario: a node becomes a candidate only after reading no term record for the timeout
     Given a node that follows another node's term
     When no term record is read for 1.0 s
     Then the node does not become a candidate
@@ -56,6 +56,6 @@
     And no term record is read for 2.1 s
     Then the node does not become a candidate
 
-  Scenario: the chart of a term refuses other transitions
+  Scenario: the chart of a term refuses every transition that is not on it
     Then the chart "term" refuses "elected" when "follower"
     And the chart "term" refuses "deposed" when "candidate"
--- a/tests/steps/jobs_availability.py
+++ b/tests/steps/jobs_availability.py
@@ -70,7 +70,7 @@
 
 
 @when("the third executor has not reported for {seconds:d} s")
-def step_silent(context, seconds):
+def step_not_reporting(context, seconds):
     world = context.lasting
     world.now += seconds
     for name in world.names[:2]:
--- a/tests/steps/jobs_lease.py
+++ b/tests/steps/jobs_lease.py
@@ -38,7 +38,7 @@
 
 
 @when("the executor's clock was last received 3 s ago")
-def step_heard(context):
+def step_clock_received(context):
     context.lease.update_clock(0.0, START_MS)
 
 
--- a/tests/steps/jobs_node.py
+++ b/tests/steps/jobs_node.py
@@ -339,7 +339,7 @@
     world.nodes[gone] = None
 
 
-@then("an executor has received a higher fencing token")
+@then("the executors have received a higher fencing token")
 def step_token(context):
     instances = context.nodes.platform.instances.values()
     assert max(item.executor.token for item in instances) == 2
@@ -354,14 +354,14 @@
     world.platform.log.append("keyed.jobs", pairs, None, "scheduler", 9, 0)
 
 
-@then("the old scheduler becomes a follower")
+@then("the old scheduler becomes a follower after its next append")
 def step_deposed(context):
     world = context.nodes
     world.rig.run_until(lambda: not world.nodes[world.old].scheduling)
 
 
 @when("one executor stops responding while it runs tasks of a job")
-def step_silent(context):
+def step_unresponsive(context):
     world = context.nodes
     world.task_ms = 300
     assert world.submit([step_fields(8)]).status == 200
@@ -369,7 +369,7 @@
     world.platform.instances["i-0"].silent = True
 
 
-@then("no run of a task was started twice")
+@then("no task ran twice at the same time under a lease")
 def step_unique_runs(context):
     runs = [item[2:] for item in context.nodes.platform.trace if item[0] == "start"]
     assert len(runs) == len(set(runs)) > 8, runs
@@ -414,7 +414,7 @@
     platform.put("keyed.op", "wave/4", fields)
 
 
-@then("each VM had its upkeep once and the wave is completed")
+@then("each VM had its upkeep once, never 2 at once, and the wave is completed")
 def step_wave_done(context):
     world = context.nodes
 
--- a/tests/steps/jobs_urgency.py
+++ b/tests/steps/jobs_urgency.py
@@ -17,7 +17,7 @@
     "{objective:d} ms, "
     "begun {begun}"
 )
-def step_outlook(context, age, left, objective, begun):
+def step_forecast(context, age, left, objective, begun):
     context.forecast = Forecast(age, left, objective, 1.0, begun == "yes", False)
 
 
--- a/tests/steps/platform_adapter.py
+++ b/tests/steps/platform_adapter.py
@@ -123,7 +123,7 @@
     assert found.result is OrderResult[name], found
 
 
-# an empty cell of an outline leaves no text between the words around it
+# An empty cell of an outline leaves no text between the words around it.
 @then("an append answered {status:d} with  failed as {fate}")
 def step_fate_empty(context, status, fate):
     step_fate(context, status, "", fate)
