--- a/src/cardamomgrade/jobs/scheduler.py
+++ b/src/cardamomgrade/jobs/scheduler.py
@@ -59,7 +59,7 @@
 
 
 class Scheduler:
-    """Unfinished jobs, known executors, and the assignment of tasks to executors.
+    """Jobs, known executors, and the assignment of tasks to executors.
 
     ``newly_used_executors`` holds the names of executors that had no runs when this
     term placed one on them, so that no earlier scheduler has runs there.
--- a/src/cardamomgrade/jobs/settings.py
+++ b/src/cardamomgrade/jobs/settings.py
@@ -9,9 +9,10 @@
 
     ``max_lease_ms`` is the longest lease that an executor accepts, ``machine_lease_ms``
     how long one scheduler's order for a VM excludes orders of another scheduler,
-    ``stop_ms`` how long stopping a run may take. ``core_share`` is the fraction of
-    ``cores`` processors that the node may use, ``link_mbps`` the capacity of its
-    network link in Mbit/s.
+    ``upkeep_ms`` how long the upkeep of a VM takes, ``stop_ms`` how long stopping a run
+    may take, ``status_ms`` how long callers may query a finished job, and ``grace_ms``
+    how long a shutdown may take. ``core_share`` is the fraction of ``cores`` processors
+    that the node may use, ``link_mbps`` the capacity of its network link in Mbit/s.
     """
 
     node: str
--- a/src/cardamomgrade/jobs/vms.py
+++ b/src/cardamomgrade/jobs/vms.py
@@ -20,7 +20,10 @@
 
 @event(610)
 class WaveChanged:
-    """A maintenance wave began, or each of its VMs has begun its upkeep."""
+    """A maintenance wave began, or each of its VMs has begun its upkeep.
+
+    ``left`` counts the VMs whose upkeep is not known to have begun.
+    """
 
     wave: int
     state: str
