--- a/scripts/bench_slots.py
+++ b/scripts/bench_slots.py
@@ -127,11 +127,11 @@
         counts = dict.fromkeys(ENDPOINTS, SLOTS)
         node.slots.configure(counts, self.names(), DEADLINE_S)
         if first:
-            node.slots.prove_first()
+            node.slots.record_first_incarnation()
         for other in self.nodes.values():
             if other is not node and not other.frozen:
-                node.slots.learn(other.name, other.incarnation)
-                other.slots.learn(name, born)
+                node.slots.record_incarnation(other.name, other.incarnation)
+                other.slots.record_incarnation(name, born)
 
     def _slots(self, name, born):
         if self.way == "shares":
--- a/src/cardamomgrade/demand.py
+++ b/src/cardamomgrade/demand.py
@@ -19,14 +19,14 @@
 
 
 @attrs.frozen
-class Request:
+class PeerAsk:
     """An Ask message for the peer in ``seat``."""
 
     seat: str
     message: Ask
 
 
-class Demand:
+class TokenDemand:
     """Number of lacking tokens by group of endpoints; groups do not overlap.
 
     A count is divided among the peers. The delay between asks doubles from
@@ -60,11 +60,11 @@
                 del self._counts[key]
                 self._endpoints = frozenset(itertools.chain.from_iterable(self._counts))
 
-    def lacks(self, endpoint):
+    def is_lacking(self, endpoint):
         """Return whether requests are waiting for an endpoint."""
         return endpoint in self._endpoints
 
-    def gained(self):
+    def reset_delay(self):
         """Reset the delay between asks, as tokens have arrived."""
         self._delay_s = ASK_DELAY_MIN_S
 
@@ -79,8 +79,8 @@
         self._delay_s = min(2 * self._delay_s, ASK_DELAY_MAX_S)
         return list(self._counts)
 
-    def requests(self, endpoints, lenders, locked):
-        """Return Requests for a group: at most one more peer than tokens are lacking.
+    def asks(self, endpoints, lenders, locked):
+        """Return PeerAsks for a group, at most one more than tokens are lacking.
 
         Peers that owe tokens come first; the first of equal peers changes each time.
         ``lenders`` is a list of Lender, ``locked`` is passed on in the Ask.
@@ -93,6 +93,6 @@
         order.sort(key=lambda lender: not lender.owes)
         per_peer = -(-count // len(lenders))
         return [
-            Request(lender.seat, Ask(next(self._sequence), endpoints, per_peer, locked))
+            PeerAsk(lender.seat, Ask(next(self._sequence), endpoints, per_peer, locked))
             for lender in order[: count + 1]
         ]
--- a/src/cardamomgrade/entry.py
+++ b/src/cardamomgrade/entry.py
@@ -164,8 +164,8 @@
         hooks = {"departures": self.leaving_vms or ()}
         if self.mesh:
             hooks |= {
-                "on_first": self.mesh.ledger.prove_first,
-                "on_vacant": self.mesh.ledger.note_vacant,
+                "on_first": self.mesh.ledger.record_first_incarnation,
+                "on_vacant": self.mesh.ledger.record_vacant_seats,
                 "on_raw": self.mesh.catchup.keep,
                 "relay": lambda record: self.mesh.relay(STREAM_FLEET, record),
                 "outage": lambda members: self.mesh.outage_known(members, LEASE_MS),
--- a/src/cardamomgrade/mesh.py
+++ b/src/cardamomgrade/mesh.py
@@ -232,7 +232,7 @@
 
     def _record_contact(self, link):
         change = self._members.heard(link.peer, link.incarnation, self._loop.now())
-        self.ledger.learn(link.peer, link.incarnation)
+        self.ledger.record_incarnation(link.peer, link.incarnation)
         self._apply_change(change)
 
     def _apply_change(self, change):
--- a/src/cardamomgrade/slots.py
+++ b/src/cardamomgrade/slots.py
@@ -10,7 +10,7 @@
 reordered messages only delay a transfer.
 """
 
-from .demand import Demand, Lender
+from .demand import Lender, TokenDemand
 from .messages import Ask, Query, Report, Tokens, TokensAck
 from .tokens import deal, Pair, PendingAsk, raise_totals, Reclaim, token_counts, unacked
 
@@ -53,7 +53,7 @@
         self._cleared_at = {}
         self._known_before = False
         self._reclaims = []
-        self._demand = Demand()
+        self._demand = TokenDemand()
         self._seat_count = 1
         self._pending_asks = {}
 
@@ -137,7 +137,7 @@
             if now >= pair.resend_at:
                 self._resend_pending(seat, pair)
 
-    def prove_first(self):
+    def record_first_incarnation(self):
         """Record that the log shows no earlier incarnation of this seat."""
         self._proven_first = True
         self._unlock_if_due()
@@ -154,7 +154,7 @@
             self._confirming_seats = set()
         return self.suspended or self.superseded
 
-    def note_vacant(self, seats):
+    def record_vacant_seats(self, seats):
         """Record the seats that have no member according to a fresh read of the log.
 
         An earlier process of such a seat has ended, and its requests end within the
@@ -187,7 +187,7 @@
         """Stop using tokens for good, as the seat has a newer incarnation."""
         self.superseded = True
 
-    def learn(self, seat, incarnation):
+    def record_incarnation(self, seat, incarnation):
         """Record the incarnation of a peer; only a newer one has an effect.
 
         Tokens lent to the replaced incarnation are taken back after the quarantine.
@@ -217,7 +217,7 @@
         """
         if self.halted():
             return
-        self.learn(seat, incarnation)
+        self.record_incarnation(seat, incarnation)
         pair = self._pairs[seat]
         if incarnation == pair.incarnation:
             self._HANDLERS[type(message)](self, seat, pair, message)
@@ -303,7 +303,7 @@
                 for seat, pair in self._pairs.items()
             ]
             locked = not self.unlocked
-            for item in self._demand.requests(endpoints, lenders, locked):
+            for item in self._demand.asks(endpoints, lenders, locked):
                 incarnation = self._pairs[item.seat].incarnation
                 self._send(item.seat, incarnation, item.message)
 
@@ -351,7 +351,7 @@
         names = [
             name
             for name in pending.ask.endpoints
-            if self._idle_home(name) > 0 and (owed or not self._demand.lacks(name))
+            if self._idle_home(name) > 0 and (owed or not self._demand.is_lacking(name))
         ]
         return max(names, key=self._idle_home, default=None)
 
@@ -365,7 +365,7 @@
         While its home tokens are locked, this seat may use as many borrowed tokens as
         it has home tokens, if requests are waiting for them.
         """
-        if self.unlocked or not any(map(self._demand.lacks, endpoints)):
+        if self.unlocked or not any(map(self._demand.is_lacking, endpoints)):
             return False
         share = sum(self._home_counts.get(name, 0) for name in endpoints)
         return sum(self._held.get(name, 0) for name in endpoints) <= share
@@ -416,7 +416,7 @@
             self._add_counts(home, 1)
         self._send(seat, pair.incarnation, TokensAck(message.lent, returned))
         if gained or home:
-            self._demand.gained()
+            self._demand.reset_delay()
             self._on_tokens()
 
     def _on_ack(self, seat, pair, message):
--- a/tests/steps/slots.py
+++ b/tests/steps/slots.py
@@ -71,14 +71,14 @@
             if peer != seat and peer in self.nodes:
                 self.meet(seat, peer)
         if first:
-            ledger.prove_first()
+            ledger.record_first_incarnation()
         return node
 
     def meet(self, one, other):
         for near, far in ((one, other), (other, one)):
             node, peer = self.nodes[near], self.nodes[far]
             if node.paused_at is None and peer.paused_at is None:
-                node.ledger.learn(far, peer.ledger.incarnation)
+                node.ledger.record_incarnation(far, peer.ledger.incarnation)
 
     def all_nodes(self):
         return [
@@ -164,7 +164,7 @@
         if node.paused_at is not None or peer.paused_at is not None:
             return
         me, other = node.ledger, peer.ledger
-        other.learn(me.seat, me.incarnation)
+        other.record_incarnation(me.seat, me.incarnation)
         if other._pairs[me.seat].incarnation == me.incarnation:
             me.confirm(other.seat, other.incarnation, self.now, other.halted())
         else:
@@ -391,12 +391,12 @@
 def step_first(context):
     cluster = Cluster(endpoints={"x": 8})
     for seat in SEATS:
-        cluster.nodes[seat].ledger.prove_first()
+        cluster.nodes[seat].ledger.record_first_incarnation()
     cluster.flush()
     found = [cluster.nodes[seat].ledger.available("x") for seat in SEATS]
     assert sum(found) == 8, found
     node = cluster.replace("a")
-    node.ledger.prove_first()
+    node.ledger.record_first_incarnation()
     cluster.flush()
     assert node.ledger.available("x") == 0
 
@@ -523,8 +523,12 @@
     cluster.replace("a")
     successor.paused_at = None
     cluster.replaced_node.paused_at = None
-    cluster.replaced_node.ledger.learn("a", cluster.nodes["a"].ledger.incarnation)
-    cluster.nodes["a"].ledger.learn("b", cluster.replaced_node.ledger.incarnation)
+    cluster.replaced_node.ledger.record_incarnation(
+        "a", cluster.nodes["a"].ledger.incarnation
+    )
+    cluster.nodes["a"].ledger.record_incarnation(
+        "b", cluster.replaced_node.ledger.incarnation
+    )
     cluster.run(6, flush=True)
     return cluster
 
