--- a/src/cardamomgrade/claim.py
+++ b/src/cardamomgrade/claim.py
@@ -62,7 +62,7 @@
     def __len__(self):
         return len(self._young) + len(self._old)
 
-    def lose(self, earliest):
+    def restart_at(self, earliest):
         """Continue at offset ``earliest``, as records before it are not retained.
 
         Drops all known claims, since a lost record may have released one of them.
@@ -75,7 +75,7 @@
     def complete(self, time_ms, memory_ms):
         """Return whether every claim that is live at ``time_ms`` is known.
 
-        False after ``lose`` until the longest time that a key is remembered has
+        False after ``restart_at`` until the longest time that a key is remembered has
         passed, counted from the first record read then.
         """
         if self.known_since_ms is None:
--- a/src/cardamomgrade/dispatch.py
+++ b/src/cardamomgrade/dispatch.py
@@ -84,7 +84,7 @@
             self._send_reply(exchange, request_id, "", request)
             return
         self._requests.add(request)
-        exchange.on_gone = lambda: self._on_caller_left(request)
+        exchange.on_disconnect = lambda: self._on_caller_left(request)
         delay = request.deadline - self._loop.now()
         request.timer = self._loop.call_later(delay, lambda: self._on_deadline(request))
         if request.key is None:
@@ -352,7 +352,7 @@
         if request.owns_key and not request.sent:
             self._keys.release(request.key, request.id)
         else:
-            self._keys.forget(request.id)
+            self._keys.abandon(request.id)
 
     def _send_reply(self, exchange, request_id, service, reply):
         self._recent.record(
--- a/src/cardamomgrade/endpoint.py
+++ b/src/cardamomgrade/endpoint.py
@@ -49,8 +49,8 @@
         self.open = 0
 
     @property
-    def room(self):
-        """The number of requests that can start now on idle or new connections."""
+    def free_connections(self):
+        """The number of connections that are idle or may still be opened."""
         return self._limit - self.open + len(self._idle)
 
     def start(self, req, request_id, repeatable, on_done):
--- a/src/cardamomgrade/jobs/node.py
+++ b/src/cardamomgrade/jobs/node.py
@@ -178,7 +178,7 @@
         for follower in (self._follower, self._operator_follower):
             follower.close()
         for server in (self._front_server, self._ready_server):
-            server.drop_others(None)
+            server.close_all_except(None)
         self._scrape_server.close()
         for topic in (self._append_topic, self._sync_topic, self._candidacy_topic):
             topic.close()
--- a/src/cardamomgrade/keys.py
+++ b/src/cardamomgrade/keys.py
@@ -41,15 +41,15 @@
 class Keys:
     """Claims the keys of one seat's requests and releases those that did not run.
 
-    ``memory_ms()`` returns how long a key is remembered. ``decide(event)`` logs an
-    event. ``caught_up`` tells whether a read has reached the tail of the stream.
+    ``memory_ms()`` returns how long a key is remembered, ``record_event(event)`` logs
+    an event. ``caught_up`` tells whether a read has reached the tail of the stream.
     """
 
-    def __init__(self, loop, net, log, seat, memory_ms, decide):
+    def __init__(self, loop, net, log, seat, memory_ms, record_event):
         self._loop = loop
         self._seat = seat
         self._memory_ms = memory_ms
-        self._decide = decide
+        self._record_event = record_event
         self._claims = ClaimState()
         self._pending = {}
         self._owed_releases = {}
@@ -99,7 +99,7 @@
         """Claim a key for a request.
 
         ``on_done(True | Refusal)`` is called once, possibly before this returns, but
-        not after ``forget``. The reason of a Refusal is DUPLICATE when another request
+        not after ``abandon``. The reason of a Refusal is DUPLICATE when another request
         has the key, or UNAVAILABLE when the log cannot be used to decide.
         """
         refusal = self._claim_refusal(key)
@@ -143,7 +143,7 @@
             return self._claims.time_ms
         return self._claims.time_ms + int((self._loop.now() - self._read_at) * 1000)
 
-    def forget(self, request):
+    def abandon(self, request):
         """Abandon a pending claim; if the log has it, it is released when read back."""
         self._pending.pop(request, None)
 
@@ -152,7 +152,7 @@
 
         The release is appended again until it is read back.
         """
-        self._decide(KeyReleaseOwed(request))
+        self._record_event(KeyReleaseOwed(request))
         self._owed_releases[request] = _OwedRelease(key, 0.0)
         self._append_release(request)
 
@@ -194,7 +194,7 @@
     def _on_own_claim(self, logged, result):
         request = logged.record.request
         if result is True:
-            self._decide(KeyOwned(request, logged.offset))
+            self._record_event(KeyOwned(request, logged.offset))
         if self._resolve(request, result) or result is not True:
             return
         self.release(logged.record.key, request)
@@ -209,7 +209,7 @@
 
     def _on_lost(self, earliest):
         note(LogTruncated(STREAM_CLAIMS, earliest))
-        self._claims.lose(earliest)
+        self._claims.restart_at(earliest)
         self._truncated_at = self._loop.now()
         self._feed.next_offset = earliest
         self.caught_up = False
--- a/src/cardamomgrade/pool.py
+++ b/src/cardamomgrade/pool.py
@@ -126,19 +126,19 @@
     def _candidates(self, pool):
         """Return the candidates; failed VMs only when there are no others."""
         bundle_vms = self._fleet.state.bundle.vms
-        sound, failed = [], []
+        healthy, failed = [], []
         for vm, state in pool.vms.items():
             bundle_vm = bundle_vms.get(vm)
             if bundle_vm is None or not self._fleet.may_send(vm):
                 continue
             free = min(self._ledger.available(vm), self._free_connections(vm))
             item = Candidate(vm, bundle_vm.zone, bundle_vm.rack, self.held(vm), free)
-            (failed if state.failed else sound).append(item)
-        return sound or failed
+            (failed if state.failed else healthy).append(item)
+        return healthy or failed
 
     def _free_connections(self, vm):
         endpoint = self._endpoints.get(vm)
-        return endpoint.room if endpoint is not None else 1
+        return endpoint.free_connections if endpoint is not None else 1
 
     def request_slots(self, name):
         """Request one slot of a pool for each of its queued requests."""
@@ -243,10 +243,10 @@
         self.finish(attempt, False if slow else None, release_delay_s)
 
     def sweep(self):
-        """Close connections that were idle too long; forget endpoints of removed VMs.
+        """Close connections that were idle too long; remove endpoints of removed VMs.
 
-        An endpoint whose VM has left the fleet is forgotten when its last
-        connection is closed.
+        An endpoint whose VM has left the fleet is removed once its last connection
+        is closed.
         """
         for vm, endpoint in list(self._endpoints.items()):
             endpoint.sweep()
--- a/src/cardamomgrade/scrape.py
+++ b/src/cardamomgrade/scrape.py
@@ -25,7 +25,7 @@
 
     def close(self):
         """Close all connections of scrapers."""
-        self._server.drop_others(None)
+        self._server.close_all_except(None)
 
     def _on_request(self, exchange):
         if exchange.req.method != "GET" or exchange.req.path != self._path:
--- a/src/cardamomgrade/server.py
+++ b/src/cardamomgrade/server.py
@@ -45,7 +45,7 @@
 class Exchange:
     """One request, to be answered once.
 
-    ``on_gone`` is called when the caller closes the connection before the answer.
+    ``on_disconnect()`` is called when the caller closes the connection before that.
     """
 
     def __init__(self, session, req, peer):
@@ -53,7 +53,7 @@
         self.req = req
         self.peer = peer
         self.answered = False
-        self.on_gone = None
+        self.on_disconnect = None
 
     def respond(self, response, close=False):
         """Answer the request; with ``close`` also close the connection after it.
@@ -70,17 +70,17 @@
         self.answered = True
         self._session.close_now()
 
-    def respond_half(self, response):
+    def respond_partially(self, response):
         """Send the head and half of the body, then close; used by test stand-ins."""
         self.answered = True
         self._session.answer_partially(response)
 
     def caller_left(self):
-        """Call ``on_gone`` unless the request was answered; called by the session."""
+        """Call ``on_disconnect`` unless answered; called by the session."""
         if not self.answered:
             self.answered = True
-            if self.on_gone is not None:
-                self.on_gone()
+            if self.on_disconnect is not None:
+                self.on_disconnect()
 
 
 class _Session:
@@ -293,8 +293,8 @@
         for session in list(self.sessions):
             session.close_idle()
 
-    def drop_others(self, exchange):
-        """Close every connection except that of ``exchange``."""
+    def close_all_except(self, exchange):
+        """Close every connection at once, except that of ``exchange``."""
         for session in list(self.sessions):
             if not session.is_answering(exchange):
                 session.close_now()
--- a/src/cardamomgrade/standend.py
+++ b/src/cardamomgrade/standend.py
@@ -102,7 +102,7 @@
             self._generation += 1
             self._fence = order["fence"]
             self._state = STATE_REBOOTING
-            self._server.drop_others(exchange)
+            self._server.close_all_except(exchange)
             self._loop.call_later(order["ms"] / 1000, self._come_up)
         exchange.respond(json_response({"fence": self._fence}))
 
@@ -153,6 +153,6 @@
         body = f"{self._name} ran {answered}\n".encode() + req.body
         response = HttpResponse(int(req.header("status", "200")), headers, body)
         if self._mode == MODE_HALF:
-            exchange.respond_half(response)
+            exchange.respond_partially(response)
             return
         exchange.respond(response)
--- a/tests/steps/claim.py
+++ b/tests/steps/claim.py
@@ -81,7 +81,7 @@
 def truncated(context, earliest):
     context.claims = ClaimState()
     assert context.claims.complete(0, MEMORY_MS)
-    context.claims.lose(earliest)
+    context.claims.restart_at(earliest)
     context.earliest = earliest
 
 
@@ -113,7 +113,7 @@
     """Return the (offset, key) that a reader from offset ``start`` finds owned."""
     state, known_ms = ClaimState(), 0
     if start:
-        state.lose(start)
+        state.restart_at(start)
         known_ms = items[start].time_ms + MEMORY_MS
     won = set()
     for item in items[start:]:
--- a/tests/steps/entry_faults.py
+++ b/tests/steps/entry_faults.py
@@ -142,7 +142,7 @@
         self.req = HttpRequest(method, path)
         self.peer = ("127.0.0.1", 1)
         self.answers = []
-        self.on_gone = None
+        self.on_disconnect = None
 
     def respond(self, response):
         self.answers.append(response)
--- a/tests/steps/spec_code.py
+++ b/tests/steps/spec_code.py
@@ -226,7 +226,7 @@
         logged = records.Logged(offset, time_ms, record)
         won = whole.fold(logged)
         if offset == cut_to:
-            cut.lose(cut_to)
+            cut.restart_at(cut_to)
         if not cut_from <= offset < cut_to:
             known = cut.complete(time_ms, MEMORY_MS)
             won_there = cut.fold(logged)
