--- a/src/cardamomgrade/catchup.py
+++ b/src/cardamomgrade/catchup.py
@@ -8,18 +8,18 @@
 from .records import STREAM_FLEET
 from .ring import Ring
 
-PULL_DELAY_S = 0.2
-PULL_TIMEOUT_S = 1.0
+FETCH_DELAY_S = 0.2
+FETCH_TIMEOUT_S = 1.0
 MS_PER_S = 1000
 
 
 @attrs.define(eq=False)
-class _Pull:
+class _Fetch:
     """A fetch of records from a peer, up to the offset ``target``."""
 
     peer: str
     target: int
-    noticed_s: float
+    planned_s: float
     expires_s: float
 
 
@@ -34,7 +34,7 @@
         self._loop = loop
         self._hooks = hooks
         self._send = send
-        self._pull = None
+        self._fetch = None
         self._missing_reported = {}
         self._ring = Ring()
 
@@ -42,57 +42,57 @@
         """Store raw fleet records [offset, time in ms, bytes] for peers."""
         self._ring.add([RawRecord(*item) for item in raw])
 
-    def answer(self, message):
+    def response_to(self, message):
         """Return the Records or RecordsMissing that answers a peer's RecordsWanted."""
         batch = self._ring.batch(message.offset)
         if batch is None:
             return RecordsMissing(message.stream, self._ring.earliest)
         return Records(message.stream, batch)
 
-    def notice(self, peer, target):
+    def plan_fetch(self, peer, target):
         """Plan a fetch, as a peer has read the stream up to ``target``.
 
-        It waits for PULL_DELAY_S, in which the records usually arrive from the log; an
-        entry that has read nothing yet fetches without that delay.
+        It starts after FETCH_DELAY_S, in which the records usually arrive from the log;
+        an entry that has read nothing yet fetches without that delay.
         """
         now = self._loop.now()
-        if self._pull is not None and now < self._pull.expires_s:
+        if self._fetch is not None and now < self._fetch.expires_s:
             return
-        delay_s = PULL_DELAY_S if self._own_offset() else 0.0
-        self._pull = _Pull(peer, target, now, now + delay_s + PULL_TIMEOUT_S)
-        self._loop.call_later(delay_s, self._fetch)
+        delay_s = FETCH_DELAY_S if self._own_offset() else 0.0
+        self._fetch = _Fetch(peer, target, now, now + delay_s + FETCH_TIMEOUT_S)
+        self._loop.call_later(delay_s, self._request_records)
 
     def _own_offset(self):
         return self._hooks.status().offset
 
-    def _fetch(self):
-        pull, own_offset = self._pull, self._own_offset()
-        if pull is None:
+    def _request_records(self):
+        fetch, own_offset = self._fetch, self._own_offset()
+        if fetch is None:
             return
-        pull.expires_s = self._loop.now() + PULL_TIMEOUT_S
+        fetch.expires_s = self._loop.now() + FETCH_TIMEOUT_S
         wanted = RecordsWanted(STREAM_FLEET, own_offset)
-        if own_offset >= pull.target or not self._send(pull.peer, wanted):
-            self._pull = None
+        if own_offset >= fetch.target or not self._send(fetch.peer, wanted):
+            self._fetch = None
 
-    def take(self, peer, message):
+    def on_records(self, peer, message):
         """Deliver the records that a peer sent; request more until none are missing."""
         before = self._own_offset()
         raw = [[item.offset, item.time_ms, item.data] for item in message.records]
         self._hooks.on_raw(message.stream, raw)
         count = self._own_offset() - before
-        pull = self._pull
-        if pull is None or pull.peer != peer:
+        fetch = self._fetch
+        if fetch is None or fetch.peer != peer:
             return
         if count <= 0:
-            self._pull = None
+            self._fetch = None
             return
-        behind_ms = int((self._loop.now() - pull.noticed_s) * MS_PER_S)
+        behind_ms = int((self._loop.now() - fetch.planned_s) * MS_PER_S)
         note(RecordsPulled(peer, message.stream, before, count, behind_ms))
-        self._fetch()
+        self._request_records()
 
-    def missing(self, peer, message):
+    def on_records_missing(self, peer, message):
         """End the fetch, as the peer no longer stores the requested records."""
-        self._pull = None
+        self._fetch = None
         if self._missing_reported.get(peer) != self._own_offset():
             self._missing_reported[peer] = self._own_offset()
             wanted = self._own_offset()
--- a/src/cardamomgrade/entry.py
+++ b/src/cardamomgrade/entry.py
@@ -168,7 +168,9 @@
                 "on_vacant": self.mesh.ledger.record_vacant_seats,
                 "on_raw": self.mesh.catchup.keep,
                 "relay": lambda record: self.mesh.relay(STREAM_FLEET, record),
-                "outage": lambda members: self.mesh.outage_known(members, LEASE_MS),
+                "outage": lambda members: self.mesh.peer_reports_outage(
+                    members, LEASE_MS
+                ),
             }
         return Member(
             self._loop,
--- a/src/cardamomgrade/membership.py
+++ b/src/cardamomgrade/membership.py
@@ -76,7 +76,7 @@
         old, peer.incarnation, peer.last_heard_s = peer.incarnation, incarnation, now
         return self._update(name, PeerState.ALIVE, old, 0.0)
 
-    def closed(self, name, now):
+    def mark_down(self, name, now):
         """Mark a peer whose link has closed as down; return a Change or None."""
         return self._set_state(name, PeerState.DOWN, now)
 
--- a/src/cardamomgrade/mesh.py
+++ b/src/cardamomgrade/mesh.py
@@ -104,7 +104,7 @@
         """Return a list of the names of the peers that are alive."""
         return self._members.alive()
 
-    def outage_known(self, members, lease_ms):
+    def peer_reports_outage(self, members, lease_ms):
         """Return whether an alive peer in ``members`` reports that its lease lapsed.
 
         ``members`` maps names to the Members in the log. A peer reports a lapsed
@@ -138,11 +138,12 @@
         fresh = [
             session
             for session in self._sessions.values()
-            if session.last is not None and session.last.age_ms != NO_PROOF
+            if session.last_heartbeat is not None
+            and session.last_heartbeat.age_ms != NO_PROOF
         ]
         if not fresh:
             return False
-        best = min(fresh, key=lambda session: session.last.age_ms)
+        best = min(fresh, key=lambda session: session.last_heartbeat.age_ms)
         best.link.send(AppendRelay(stream, encode_record(record)))
         return True
 
@@ -195,7 +196,7 @@
     def _drop_session(self, name, link):
         if name in self._sessions and self._sessions[name].link is link:
             del self._sessions[name]
-            self._apply_change(self._members.closed(name, self._loop.now()))
+            self._apply_change(self._members.mark_down(name, self._loop.now()))
 
     def _on_up(self, link):
         self._pending.discard(link)
@@ -265,7 +266,9 @@
         age_ms = NO_PROOF
         if status.proof_s is not None:
             age_ms = int((now - status.proof_s) * MS_PER_S) + 1
-        echo = session.last.sequence if session.last is not None else 0
+        echo = (
+            session.last_heartbeat.sequence if session.last_heartbeat is not None else 0
+        )
         session.link.send(
             Heartbeat(
                 session.pings.send(now),
@@ -339,27 +342,27 @@
             )
         self._adopt_proof(session)
         if message.offset > self._hooks.status().offset:
-            self.catchup.notice(link.peer, message.offset)
+            self.catchup.plan_fetch(link.peer, message.offset)
 
     def _adopt_proof(self, session):
-        if session.last is None:
+        if session.last_heartbeat is None:
             return
         own = self._hooks.status().offset
-        proof_s = handed_on_proof(session.last, session.echoed_ping_s, own)
+        proof_s = handed_on_proof(session.last_heartbeat, session.echoed_ping_s, own)
         if proof_s is not None:
             self._hooks.on_fresh(proof_s)
 
     def _on_records_wanted(self, session, message):
         if message.stream == STREAM_FLEET:
-            session.link.send(self.catchup.answer(message))
+            session.link.send(self.catchup.response_to(message))
 
     def _on_records(self, session, message):
-        self.catchup.take(session.link.peer, message)
+        self.catchup.on_records(session.link.peer, message)
         for other in list(self._sessions.values()):
             self._adopt_proof(other)
 
     def _on_records_missing(self, session, message):
-        self.catchup.missing(session.link.peer, message)
+        self.catchup.on_records_missing(session.link.peer, message)
 
     def _on_append(self, session, message):
         peer = session.link.peer
--- a/src/cardamomgrade/peering.py
+++ b/src/cardamomgrade/peering.py
@@ -12,17 +12,17 @@
     """An authenticated link and the latest heartbeat received on it.
 
     ``echoed_ping_s`` is the monotonic time at which this entry sent the ping that
-    ``last`` echoes, or None when that is not known.
+    ``last_heartbeat`` echoes, or None when that is not known.
     """
 
     link: Link
     pings: Pings = attrs.field(factory=Pings)
-    last: Heartbeat | None = None
+    last_heartbeat: Heartbeat | None = None
     echoed_ping_s: float | None = None
 
     def update(self, heartbeat):
         """Store a heartbeat of the peer as the latest one."""
-        self.last = heartbeat
+        self.last_heartbeat = heartbeat
         self.echoed_ping_s = self.pings.sent_s(heartbeat.echo)
 
     def reports_outage(self, lease_ms, offset, since_s):
@@ -33,6 +33,9 @@
         """
         if self.echoed_ping_s is None or self.echoed_ping_s < since_s:
             return False
-        if self.last.offset > offset:
+        if self.last_heartbeat.offset > offset:
             return False
-        return self.last.age_ms == NO_PROOF or self.last.age_ms > lease_ms
+        return (
+            self.last_heartbeat.age_ms == NO_PROOF
+            or self.last_heartbeat.age_ms > lease_ms
+        )
--- a/tests/steps/mesh.py
+++ b/tests/steps/mesh.py
@@ -280,7 +280,7 @@
 
 def accepts_outage_report(world):
     member = Member("e1", 1, "z0", "", 0)
-    return world.peers["e0"].mesh.outage_known({"e1": member}, LEASE_MS)
+    return world.peers["e0"].mesh.peer_reports_outage({"e1": member}, LEASE_MS)
 
 
 @then("mesh entry e0 accepts the outage report of member e1")
--- a/tests/steps/spec_newcomer.py
+++ b/tests/steps/spec_newcomer.py
@@ -12,17 +12,17 @@
 FREEZE_S = 60.0
 
 
-def trusts(world):
-    """Return whether the newcomer may send on its sponsor's word."""
+def sponsor_reports_outage(world):
+    """Return whether the newcomer may send, as its sponsor reports an outage."""
     member = MemberJoined(SPONSOR, 1, "z", dict(world.addresses)[SPONSOR])
     mesh = world.peers[NEWCOMER].mesh
-    return mesh.outage_known({SPONSOR: member}, LEASE_MS)
+    return mesh.peer_reports_outage({SPONSOR: member}, LEASE_MS)
 
 
-def heard_offset(mesh):
+def reported_offset(mesh):
     """Return the offset in the sponsor's last heartbeat, or None."""
-    last = mesh._sessions[SPONSOR].last
-    return last and last.offset
+    heartbeat = mesh._sessions[SPONSOR].last_heartbeat
+    return heartbeat and heartbeat.offset
 
 
 @given("a sponsor without the log and a newcomer that lacks its last records")
@@ -31,14 +31,14 @@
     sponsor, newcomer = (world.peers[name] for name in (SPONSOR, NEWCOMER))
     sponsor.proof_s = world.rig.loop.now() - STALE_S
     sponsor.offset = SPONSOR_OFFSET
-    world.rig.run_until(lambda: heard_offset(newcomer.mesh) == SPONSOR_OFFSET)
+    world.rig.run_until(lambda: reported_offset(newcomer.mesh) == SPONSOR_OFFSET)
 
 
 @when("the newcomer has its sponsor's records")
 def step_caught_up(context):
     world = context.sponsored
     world.peers[NEWCOMER].offset = SPONSOR_OFFSET
-    world.rig.run_until(lambda: trusts(world))
+    world.rig.run_until(lambda: sponsor_reports_outage(world))
 
 
 @when("the newcomer wakes after a freeze")
@@ -50,4 +50,4 @@
 
 @then("the newcomer does not send on its sponsor's word")
 def step_mistrusts(context):
-    assert not trusts(context.sponsored)
+    assert not sponsor_reports_outage(context.sponsored)
