--- a/src/cardamomgrade/console.py
+++ b/src/cardamomgrade/console.py
@@ -16,14 +16,14 @@
 EXIT_UNKNOWN = 4
 
 
-def show(value, as_json):
+def print_value(value, as_json):
     """Print an attrs instance, or a list of them, as JSON or as text."""
     data = to_json(value)
     text = json.dumps(data, indent=2) + "\n" if as_json else render(data)
     click.echo(text, nl=False)
 
 
-def fail(status, text):
+def exit_with_error(status, text):
     """Print ``text`` to standard error and exit with code ``status``."""
     click.echo(text, err=True)
     sys.exit(status)
@@ -37,9 +37,9 @@
         try:
             return function(*args, **kwargs)
         except BundleError as exc:
-            fail(EXIT_BAD_INPUT, str(exc))
+            exit_with_error(EXIT_BAD_INPUT, str(exc))
         except FeedError as exc:
-            fail(EXIT_LOG_UNAVAILABLE, str(exc))
+            exit_with_error(EXIT_LOG_UNAVAILABLE, str(exc))
 
     return call
 
--- a/src/cardamomgrade/control.py
+++ b/src/cardamomgrade/control.py
@@ -36,7 +36,7 @@
 from .explain import control_status, explain_vm, History
 from .follower import Follower
 from .intent import IntentSchedule, rank, shard_of
-from .journal import note, start_journal
+from .journal import note, start_logging
 from .loop import Loop
 from .metrics import Metrics
 from .net import Net
@@ -331,7 +331,7 @@
 
 def run(cfg):
     """Run a control until it receives a signal to stop."""
-    start_journal(PROGRAM, cfg.name)
+    start_logging(PROGRAM, cfg.name)
     loop = Loop()
     control = Control(cfg, loop, Net(loop))
     loop.on_stop(control.stop)
--- a/src/cardamomgrade/ctl.py
+++ b/src/cardamomgrade/ctl.py
@@ -16,8 +16,8 @@
     EXIT_LOG_UNAVAILABLE,
     EXIT_REFUSED,
     EXIT_UNKNOWN,
-    fail,
-    show,
+    exit_with_error,
+    print_value,
 )
 from .errors import BundleError, PeerError
 from .explain import bundle_view, bundles_view, explain_vm, fleet_view, wave_views
@@ -99,7 +99,9 @@
 def _open_log(access):
     """Return a LogSession that has read the log to its tail."""
     if not access.log:
-        fail(EXIT_BAD_INPUT, "the log's address is missing: --log or CARDAMOM_LOG")
+        exit_with_error(
+            EXIT_BAD_INPUT, "the log's address is missing: --log or CARDAMOM_LOG"
+        )
     session = LogSession(access.log)
     session.catch_up()
     return session
@@ -107,7 +109,7 @@
 
 def _operator_name(access):
     if not access.operator:
-        fail(
+        exit_with_error(
             EXIT_BAD_INPUT,
             "the operator's name is missing: --operator or CARDAMOM_OPERATOR",
         )
@@ -128,12 +130,12 @@
     if isinstance(verdict, Refusal):
         unknown = verdict.reason is Reason.UNKNOWN
         status = EXIT_UNKNOWN if unknown else EXIT_LOG_UNAVAILABLE
-        fail(status, f"{kind}: {verdict}")
+        exit_with_error(status, f"{kind}: {verdict}")
     if verdict.refusal is not None:
         if as_json:
-            show(Refused(verdict.refusal), as_json)
-        fail(EXIT_REFUSED, f"{kind} refused: {verdict.refusal}")
-    show(Accepted(kind, record.digest.hex(), verdict.logged.offset), as_json)
+            print_value(Refused(verdict.refusal), as_json)
+        exit_with_error(EXIT_REFUSED, f"{kind} refused: {verdict.refusal}")
+    print_value(Accepted(kind, record.digest.hex(), verdict.logged.offset), as_json)
 
 
 def _bundle_in_force(state):
@@ -159,9 +161,13 @@
         digests.append(state.bundle.digest)
     found = [digest for digest in digests if digest.hex().startswith(prefix)]
     if len(prefix) < DIGEST_MIN_CHARS or len(found) > 1:
-        fail(EXIT_BAD_INPUT, f"{prefix}: more digits of the digest are needed")
+        exit_with_error(
+            EXIT_BAD_INPUT, f"{prefix}: more digits of the digest are needed"
+        )
     if not found:
-        fail(EXIT_REFUSED, f"{prefix}: no such proposal; {_bundle_in_force(state)}")
+        exit_with_error(
+            EXIT_REFUSED, f"{prefix}: no such proposal; {_bundle_in_force(state)}"
+        )
     return found[0]
 
 
@@ -201,7 +207,7 @@
     """Check a bundle file."""
     item = _read_bundle(path)
     sizes = map(len, (item.pools, item.services, item.vms, item.waves))
-    show(CheckedBundle(path, item.version, item.digest.hex(), *sizes), as_json)
+    print_value(CheckedBundle(path, item.version, item.digest.hex(), *sizes), as_json)
 
 
 @_command(bundle, "diff")
@@ -213,7 +219,7 @@
     state = _open_log(access).state
     difference = diff_sections(_sections(state), item.sections)
     if as_json:
-        show(difference, as_json)
+        print_value(difference, as_json)
     else:
         click.echo(diff_text(_sections(state), difference), nl=False)
 
@@ -229,7 +235,9 @@
     """Propose a bundle as its difference from the bundle in force."""
     operator, item = _operator_name(access), _read_bundle(path)
     if item.author != operator:
-        fail(EXIT_REFUSED, f"the bundle's author is {item.author}, not {operator}")
+        exit_with_error(
+            EXIT_REFUSED, f"the bundle's author is {item.author}, not {operator}"
+        )
     session = _open_log(access)
     record = _proposal(session.state, item)
     _print_outcome(record, session.submit(record), as_json)
@@ -278,7 +286,9 @@
 
 def _fetch_views(addresses, key, target):
     if not key:
-        fail(EXIT_BAD_INPUT, "the shared key is missing: --key or CARDAMOM_KEY")
+        exit_with_error(
+            EXIT_BAD_INPUT, "the shared key is missing: --key or CARDAMOM_KEY"
+        )
     return [
         NodePage(address, error=str(value))
         if isinstance(value, PeerError)
@@ -295,10 +305,10 @@
     nodes: list
 
 
-def _show_with_nodes(value, ops, key, as_json):
+def _print_with_nodes(value, ops, key, as_json):
     if ops:
         value = NodesView(value, _fetch_views(ops, key, "/status"))
-    show(value, as_json)
+    print_value(value, as_json)
 
 
 @_command(bundle, "status", "bundle status")
@@ -306,7 +316,7 @@
 @click.pass_obj
 def bundle_status(access, ops, key, as_json):
     """Show the bundle in force and the proposals; with --ops, nodes' too."""
-    _show_with_nodes(bundles_view(_open_log(access).state), ops, key, as_json)
+    _print_with_nodes(bundles_view(_open_log(access).state), ops, key, as_json)
 
 
 @_command(fleet, "status", "fleet status")
@@ -314,7 +324,7 @@
 @click.pass_obj
 def fleet_status(access, ops, key, as_json):
     """Show the members, VMs and open batches; with --ops, nodes' views too."""
-    _show_with_nodes(fleet_view(_open_log(access).state), ops, key, as_json)
+    _print_with_nodes(fleet_view(_open_log(access).state), ops, key, as_json)
 
 
 @_command(wave, "status", "wave status")
@@ -322,7 +332,7 @@
 @click.pass_obj
 def wave_status(access, ops, key, as_json):
     """Show each wave's progress; with --ops of a control, why it waits."""
-    _show_with_nodes(wave_views(_open_log(access).state), ops, key, as_json)
+    _print_with_nodes(wave_views(_open_log(access).state), ops, key, as_json)
 
 
 @_command(main, "explain")
@@ -333,15 +343,17 @@
     """Show the history of a VM from the log, or of a request from the entries."""
     if ops:
         pages = _fetch_views(ops, key, f"/explain?id={subject}")
-        show([page for page in pages if not page.error] or pages, as_json)
+        print_value([page for page in pages if not page.error] or pages, as_json)
         if all(page.error for page in pages):
             sys.exit(EXIT_REFUSED)
         return
     session = _open_log(access)
     result = explain_vm(session.state, session.history, subject)
     if isinstance(result, Refusal):
-        fail(EXIT_REFUSED, f"{result}; for a request, name the entries with --ops")
-    show(result, as_json)
+        exit_with_error(
+            EXIT_REFUSED, f"{result}; for a request, name the entries with --ops"
+        )
+    print_value(result, as_json)
 
 
 if __name__ == "__main__":
--- a/src/cardamomgrade/entry.py
+++ b/src/cardamomgrade/entry.py
@@ -9,7 +9,7 @@
 from .entry_events import EntryStarted, EntryStopped, EntryStopping
 from .errors import SettingsError
 from .fleet import LEASE_MS
-from .journal import note, start_journal
+from .journal import note, start_logging
 from .keys import Keys
 from .leaving import LeavingVms
 from .link import Identity
@@ -294,7 +294,7 @@
 
 def run(cfg):
     """Run an entry until it is stopped."""
-    start_journal("cardamom-entry", cfg.name)
+    start_logging("cardamom-entry", cfg.name)
     loop = Loop()
     Entry(loop, cfg).start()
     loop.run()
--- a/src/cardamomgrade/jobctl.py
+++ b/src/cardamomgrade/jobctl.py
@@ -7,7 +7,14 @@
 import attrs
 import click
 
-from .console import command, EXIT_BAD_INPUT, EXIT_REFUSED, EXIT_UNKNOWN, fail, show
+from .console import (
+    command,
+    EXIT_BAD_INPUT,
+    EXIT_REFUSED,
+    EXIT_UNKNOWN,
+    exit_with_error,
+    print_value,
+)
 from .errors import SettingsError
 from .jobs.jobfile import parse_job_file
 from .jobs.records import CancelRecord, encode, JobState, PREFIX_CANCEL, PREFIX_JOB
@@ -36,7 +43,7 @@
     try:
         return JobSession(load_settings(path), Platform)
     except SettingsError as exc:
-        fail(EXIT_BAD_INPUT, str(exc))
+        exit_with_error(EXIT_BAD_INPUT, str(exc))
 
 
 @click.group()
@@ -54,7 +61,7 @@
 def list_jobs(path, queue, state, as_json):
     """List the jobs in the store, the oldest first."""
     with _session(path) as session:
-        show(job_summaries(session.view, _now_ms(), queue, state), as_json)
+        print_value(job_summaries(session.view, _now_ms(), queue, state), as_json)
 
 
 @command(job, "show", "cardamomctl job show 5c0e7a21d94b36f8")
@@ -65,8 +72,8 @@
     with _session(path) as session:
         details = job_details(session.view, name)
     if details is None:
-        fail(EXIT_REFUSED, f"{name}: no such job")
-    show(details, as_json)
+        exit_with_error(EXIT_REFUSED, f"{name}: no such job")
+    print_value(details, as_json)
 
 
 @command(job, "queues", "cardamomctl job queues --json")
@@ -75,8 +82,8 @@
     """List the configured queues with their pending and running jobs."""
     with _session(path) as session:
         if session.config is None:
-            fail(EXIT_REFUSED, "no configuration is in force")
-        show(queue_summaries(session.view, session.config), as_json)
+            exit_with_error(EXIT_REFUSED, "no configuration is in force")
+        print_value(queue_summaries(session.view, session.config), as_json)
 
 
 @command(job, "submit", "cardamomctl job submit notices job.json")
@@ -90,11 +97,11 @@
     with _session(path) as session:
         target = session.config.queue(queue) if session.config is not None else None
         if target is None:
-            fail(EXIT_REFUSED, f"{queue}: no such queue")
+            exit_with_error(EXIT_REFUSED, f"{queue}: no such queue")
         if session.view.find(name) is None:
             spec = parse_job_file(file, _read(file), name, target, _now_ms())
             _store(session, name, PREFIX_JOB + name, encode(spec))
-    show(Stored(name, "job"), as_json)
+    print_value(Stored(name, "job"), as_json)
 
 
 @command(job, "cancel", "cardamomctl job cancel 5c0e7a21d94b36f8")
@@ -105,21 +112,23 @@
     with _session(path) as session:
         row = session.view.find(name)
         if row is None:
-            fail(EXIT_REFUSED, f"{name}: no such job")
+            exit_with_error(EXIT_REFUSED, f"{name}: no such job")
         if row.state.final:
-            fail(EXIT_REFUSED, f"{name}: {row.state.name.lower()} already")
+            exit_with_error(EXIT_REFUSED, f"{name}: {row.state.name.lower()} already")
         record = encode(CancelRecord(_now_ms()))
         _store(session, name, PREFIX_CANCEL + name, record)
-    show(Stored(name, "cancellation"), as_json)
+    print_value(Stored(name, "cancellation"), as_json)
 
 
 def _read(file):
     try:
         return Path(file).read_text()
     except (OSError, UnicodeDecodeError) as exc:
-        fail(EXIT_BAD_INPUT, f"{file}: {exc}")
+        exit_with_error(EXIT_BAD_INPUT, f"{file}: {exc}")
 
 
 def _store(session, name, key, value):
     if not session.store(key, value):
-        fail(EXIT_UNKNOWN, f"{name}: the store did not answer; repeat with --id")
+        exit_with_error(
+            EXIT_UNKNOWN, f"{name}: the store did not answer; repeat with --id"
+        )
--- a/src/cardamomgrade/jobsd.py
+++ b/src/cardamomgrade/jobsd.py
@@ -6,7 +6,7 @@
 
 from .errors import SettingsError
 from .jobs.node import Node
-from .journal import BoundedStream, start_journal
+from .journal import BoundedStream, start_logging
 from .loop import Loop
 from .platform.adapter import Platform
 from .platform.boot import load_settings
@@ -43,7 +43,7 @@
     if check_settings:
         click.echo(str(cfg))
         return
-    start_journal(PROGRAM, cfg.node, BoundedStream(sys.stdout.fileno()))
+    start_logging(PROGRAM, cfg.node, BoundedStream(sys.stdout.fileno()))
     loop = Loop()
     node = Node(loop, cfg, Platform, metrics)
     loop.on_stop(node.stop)
--- a/src/cardamomgrade/journal.py
+++ b/src/cardamomgrade/journal.py
@@ -76,7 +76,7 @@
             del self._buffer[:sent]
 
 
-def start_journal(program, name, stream=None):
+def start_logging(program, name, stream=None):
     """Log events to ``stream`` (default: standard error) with program and node name."""
     handler = logging.StreamHandler(stream)
     handler.setFormatter(
@@ -91,7 +91,7 @@
     _LOGGER.propagate = False
 
 
-def stop_journal():
+def stop_logging():
     """Discard events from now on."""
     _LOGGER.handlers[:] = [logging.NullHandler()]
 
--- a/tests/steps/journal.py
+++ b/tests/steps/journal.py
@@ -28,9 +28,9 @@
 @then("a logged event is one JSON line with its number, name and fields")
 def step_line(context):
     stream = io.StringIO()
-    journal.start_journal("entry", "e1", stream)
+    journal.start_logging("entry", "e1", stream)
     journal.note(EntryMember(7))
-    journal.stop_journal()
+    journal.stop_logging()
     (line,) = stream.getvalue().splitlines()
     found = json.loads(line)
     assert (found["event"], found["event_name"]) == (301, "EntryMember")
