--- a/tests/loops.py
+++ b/tests/loops.py
@@ -3,7 +3,7 @@
 RESULT_TIMEOUT_S = 20.0
 
 
-def ask(loop, call):
+def await_result(loop, call):
     """Run the loop until ``call(on_done)`` reports a result, and return it."""
     results = []
     call(results.append)
--- a/tests/steps/entry.py
+++ b/tests/steps/entry.py
@@ -57,12 +57,12 @@
 
 @when('a caller sends {method} {path} with the body "{body}"')
 def caller_sends(context, method, path, body):
-    context.answer = context.world.ask(method, path, body=body.encode())
+    context.answer = context.world.request(method, path, body=body.encode())
 
 
 @when("a caller sends {method} /notices that asks for the status {status:d}")
 def sends_with_status(context, method, status):
-    context.answer = context.world.ask(method, "/notices", status=status)
+    context.answer = context.world.request(method, "/notices", status=status)
 
 
 @then('the answer is 200 and ends with "{text}"')
@@ -236,7 +236,7 @@
 @when("a caller sends a body of {size:d} bytes that the endpoint echoes")
 def sends_large(context, size):
     context.body = b"x" * size
-    context.answer = context.world.ask("POST", "/notices", body=context.body)
+    context.answer = context.world.request("POST", "/notices", body=context.body)
 
 
 @then("it gets its whole body")
--- a/tests/steps/entry_faults.py
+++ b/tests/steps/entry_faults.py
@@ -85,7 +85,7 @@
     recent = world.entries["e1"].recent
     context.answers = []
     for _ in range(40):
-        answer = world.ask(method, "/notices/7")
+        answer = world.request(method, "/notices/7")
         context.answers.append(answer)
         found = recent.find(answer.header("cardamom-request"))
         if any(getattr(item, "vm", "") == "bad" for item in found):
@@ -160,7 +160,7 @@
         conns.append(conn),
         answer_completely(conn, request_id),
     )
-    assert world.ask("POST", "/notices").status == 200
+    assert world.request("POST", "/notices").status == 200
     world.run_for(0.05)
     linger = struct.pack("ii", 1, 0)
     conns[0]._sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -188,7 +188,7 @@
 
 @then("the entry answers the next request")
 def answers_next(context):
-    assert context.world.ask("POST", "/notices").status == 200
+    assert context.world.request("POST", "/notices").status == 200
 
 
 @when("1500 requests wait and the entry is blocked past their deadline")
--- a/tests/steps/entry_fleet.py
+++ b/tests/steps/entry_fleet.py
@@ -71,7 +71,7 @@
 def all_on_second(context, count):
     world = context.world
     for number in range(count):
-        answer = world.ask("GET", "/notices", f"e{number % 2 + 1}")
+        answer = world.request("GET", "/notices", f"e{number % 2 + 1}")
         assert answer.header("endpoint") == "vm1", answer
 
 
@@ -170,7 +170,7 @@
 def on_both(context):
     world = context.world
     vms = {
-        world.ask("GET", "/notices", f"e{number % 2 + 1}").header("endpoint")
+        world.request("GET", "/notices", f"e{number % 2 + 1}").header("endpoint")
         for number in range(20)
     }
     assert vms == {"vm0", "vm1"}
--- a/tests/steps/entry_process.py
+++ b/tests/steps/entry_process.py
@@ -184,7 +184,7 @@
 def claim_again(context):
     world = context.world
     for _ in range(100):
-        answer = world.ask("POST", "/notices", "e2", idempotency_key="k1")
+        answer = world.request("POST", "/notices", "e2", idempotency_key="k1")
         if answer.status == 200:
             break
         assert answer.header("cardamom-outcome") in ("duplicate", "not-run")
@@ -288,7 +288,7 @@
     world = context.world
     wait_until_serving(world, "e2")
     assert len(incarnations(world, "e2")) == 1
-    answer = world.ask("POST", "/notices", "e2", idempotency_key="k9")
+    answer = world.request("POST", "/notices", "e2", idempotency_key="k9")
     assert answer.header("cardamom-outcome") == "not-run"
 
 
--- a/tests/steps/entry_world.py
+++ b/tests/steps/entry_world.py
@@ -214,7 +214,7 @@
         answers.append(result)
         conn.abort()
 
-    def ask(self, method, path, entry="e1", body=b"", **headers):
+    def request(self, method, path, entry="e1", body=b"", **headers):
         """Send a request and return its response or error."""
         answers = self.send(method, path, entry, body, **headers)
         self.run_until(lambda: answers)
--- a/tests/steps/estate.py
+++ b/tests/steps/estate.py
@@ -11,7 +11,7 @@
 from cardamomgrade.net import Net
 from cardamomgrade.refusal import Reason
 from cardamomgrade.server import HttpServer, plain_response
-from loops import ask
+from loops import await_result
 
 FIXED = settings(max_examples=300, derandomize=True, deadline=None, database=None)
 SCALARS = st.one_of(st.none(), st.booleans(), st.integers(0, 9), st.text(max_size=3))
@@ -62,7 +62,9 @@
 def step_reboots(context):
     estate = Estate(context.loop, context.net, context.address)
     results = [
-        ask(context.loop, lambda done, fence=fence: estate.reboot("a1", fence, done))
+        await_result(
+            context.loop, lambda done, fence=fence: estate.reboot("a1", fence, done)
+        )
         for fence in (1, 2, 3, 4)
     ]
     assert results[0] == RebootTaken("a1", 1)
@@ -75,5 +77,5 @@
 def step_gone(context):
     context.net.close_listeners()
     estate = Estate(context.loop, context.net, context.address)
-    result = ask(context.loop, lambda done: estate.reboot("a1", 5, done))
+    result = await_result(context.loop, lambda done: estate.reboot("a1", 5, done))
     assert result.reason is Reason.UNAVAILABLE
--- a/tests/steps/keys.py
+++ b/tests/steps/keys.py
@@ -21,9 +21,9 @@
     return context.world.send("POST", "/notices", entry, idempotency_key=key)
 
 
-def ask_keyed(context, entry, key):
+def request_keyed(context, entry, key):
     world = context.world
-    return world.ask("POST", "/notices", entry, idempotency_key=key)
+    return world.request("POST", "/notices", entry, idempotency_key=key)
 
 
 def key_runs(context, key):
@@ -86,7 +86,7 @@
 
 @when('the key "{key}" is sent to e1 and then to e2')
 def sent_twice(context, key):
-    context.answers = [ask_keyed(context, entry, key) for entry in ("e1", "e2")]
+    context.answers = [request_keyed(context, entry, key) for entry in ("e1", "e2")]
 
 
 @then("the first was answered and the second refused as duplicate")
@@ -104,18 +104,18 @@
         faults.log = "hang"
     else:
         faults.slow_ms = 2 * DEADLINE_MS
-    context.answer = ask_keyed(context, "e1", key)
+    context.answer = request_keyed(context, "e1", key)
 
 
 @when('the answer to the next append is lost and the key "{key}" is sent to e1')
 def answer_lost(context, key):
     context.world.log.faults.lose_answers = 1
-    context.answer = ask_keyed(context, "e1", key)
+    context.answer = request_keyed(context, "e1", key)
 
 
 @when('the key "{key}" is sent to e1')
 def key_sent(context, key):
-    context.answer = ask_keyed(context, "e1", key)
+    context.answer = request_keyed(context, "e1", key)
 
 
 @then("the keyed request is refused as not-run with a retry-after time")
@@ -131,7 +131,7 @@
 
 @then("a request without a key is answered")
 def unkeyed(context):
-    answer = context.world.ask("POST", "/notices")
+    answer = context.world.request("POST", "/notices")
     assert answer.status == 200, answer
 
 
@@ -157,20 +157,20 @@
 @then('the key "{key}" runs once at e2')
 def runs_at_e2(context, key):
     assert key_runs(context, key) == 0
-    assert outcome(ask_keyed(context, "e2", key)) == "answered"
+    assert outcome(request_keyed(context, "e2", key)) == "answered"
     assert key_runs(context, key) == 1
 
 
 @then('the key "{key}" ran once in all')
 def ran_in_all(context, key):
-    assert outcome(ask_keyed(context, "e2", key)) == DUPLICATE
+    assert outcome(request_keyed(context, "e2", key)) == DUPLICATE
     assert key_runs(context, key) == 1
 
 
 @when("6 keys have run and the log keeps only 3 claims")
 def truncated_log(context):
     for number in range(6):
-        assert outcome(ask_keyed(context, "e1", f"k{number}")) == "answered"
+        assert outcome(request_keyed(context, "e1", f"k{number}")) == "answered"
     stream = context.world.log._streams[records.STREAM_CLAIMS]
     del stream.records[:3]
     stream.earliest += 3
@@ -189,6 +189,6 @@
 def newcomer_refuses(context):
     world = context.world
     world.run_until(lambda: world.entries["e2"].keys.caught_up)
-    assert outcome(ask_keyed(context, "e2", "k0")) == NOT_RUN
-    assert outcome(ask_keyed(context, "e2", "new")) == NOT_RUN
-    assert world.ask("POST", "/notices", "e2").status == 200
+    assert outcome(request_keyed(context, "e2", "k0")) == NOT_RUN
+    assert outcome(request_keyed(context, "e2", "new")) == NOT_RUN
+    assert world.request("POST", "/notices", "e2").status == 200
--- a/tests/steps/mesh_process.py
+++ b/tests/steps/mesh_process.py
@@ -36,7 +36,7 @@
 def answering_endpoint(world, entry):
     """Send requests until one is answered; return the endpoint that served it."""
     for _ in range(200):
-        answer = world.ask("GET", "/notices", entry)
+        answer = world.request("GET", "/notices", entry)
         if isinstance(answer, HttpResponse) and answer.status == 200:
             return answer.header("endpoint")
         world.run_for(0.05)
--- a/tests/steps/ops.py
+++ b/tests/steps/ops.py
@@ -9,7 +9,7 @@
 from cardamomgrade.net import Net
 from cardamomgrade.ops import OpsClient, OpsServer
 from cardamomgrade.refusal import Reason, Refusal
-from loops import ask
+from loops import await_result
 
 FIXED = settings(max_examples=200, derandomize=True, deadline=None, database=None)
 KEY = "operators-key-1234"
@@ -78,7 +78,9 @@
 @when('a client with the key "{key}" requests "{target}"')
 def step_ask(context, key, target):
     client = OpsClient(context.loop, context.net, context.address, key)
-    context.answer = ask(context.loop, lambda done: client.get(target, done, 5.0))
+    context.answer = await_result(
+        context.loop, lambda done: client.get(target, done, 5.0)
+    )
 
 
 @then('the operators\' server responds with {status:d} and "{text}"')
--- a/tests/steps/wave_run.py
+++ b/tests/steps/wave_run.py
@@ -10,7 +10,7 @@
 from cardamomgrade.ops import OpsClient
 from cardamomgrade.records import DrainStarted, MemberGone, RebootOrdered, Snapshot
 from cardamomgrade.watch import GONE_S
-from loops import ask
+from loops import await_result
 from waves import KEY, WAVE_LIMIT_S, World
 
 NONE_WITHHELD = "nothing"
@@ -161,7 +161,9 @@
     pages = []
 
     def ready():
-        answer = ask(world.rig.loop, lambda done: client.get("/ready", done, 5.0))
+        answer = await_result(
+            world.rig.loop, lambda done: client.get("/ready", done, 5.0)
+        )
         if answer.status == 200:
             pages.append(json.loads(answer.body))
         return pages
