--- a/src/cardamomgrade/catchup.py
+++ b/src/cardamomgrade/catchup.py
@@ -75,7 +75,7 @@
             self._fetch = None
 
     def on_records(self, peer, message):
-        """Deliver the records that a peer sent; request more until none are missing."""
+        """Pass on the records that a peer sent; request more until none are missing."""
         before = self._own_offset()
         raw = [[item.offset, item.time_ms, item.data] for item in message.records]
         self._hooks.on_raw(message.stream, raw)
--- a/src/cardamomgrade/dispatch.py
+++ b/src/cardamomgrade/dispatch.py
@@ -306,7 +306,7 @@
         self._end_failed(request, refusal)
 
     def _on_caller_left(self, request):
-        """Remove a queued request; let a running one end without a caller."""
+        """Remove a queued request; a running one goes on without its caller."""
         if request.done:
             return
         running = request.attempt is not None
--- a/src/cardamomgrade/entry.py
+++ b/src/cardamomgrade/entry.py
@@ -253,9 +253,9 @@
         return port
 
     def stop(self):
-        """Shut down: finish open requests, append the leave to the log, end the loop.
+        """Shut down: finish open requests, append a MemberLeft, end the loop.
 
-        After DRAIN_LIMIT_S the open requests are abandoned, and no leave is appended.
+        After DRAIN_LIMIT_S the open requests are abandoned, without a MemberLeft.
         """
         if self._stopping:
             return
--- a/src/cardamomgrade/membership.py
+++ b/src/cardamomgrade/membership.py
@@ -41,7 +41,7 @@
 class _Peer:
     state: PeerState = PeerState.UNKNOWN
     incarnation: int = 0
-    last_heard_s: float = 0.0
+    last_message_s: float = 0.0
 
 
 class Membership:
@@ -73,7 +73,7 @@
         peer = self._peers[name]
         if incarnation < peer.incarnation:
             return None
-        old, peer.incarnation, peer.last_heard_s = peer.incarnation, incarnation, now
+        old, peer.incarnation, peer.last_message_s = peer.incarnation, incarnation, now
         return self._update(name, PeerState.ALIVE, old, 0.0)
 
     def mark_down(self, name, now):
@@ -90,9 +90,9 @@
         self._last_sweep_s = now
         if pause_s >= SUSPECT_AFTER_S:
             for peer in self._peers.values():
-                peer.last_heard_s += pause_s
+                peer.last_message_s += pause_s
         changes = [
-            self._set_state(name, _state_after_silence(now - peer.last_heard_s), now)
+            self._set_state(name, _state_after_silence(now - peer.last_message_s), now)
             for name, peer in self._peers.items()
             if peer.state in (PeerState.ALIVE, PeerState.SUSPECT)
         ]
@@ -100,7 +100,7 @@
 
     def _set_state(self, name, state, now):
         peer = self._peers[name]
-        return self._update(name, state, peer.incarnation, now - peer.last_heard_s)
+        return self._update(name, state, peer.incarnation, now - peer.last_message_s)
 
     def _update(self, name, state, old, silent_s):
         peer = self._peers[name]
--- a/src/cardamomgrade/recent.py
+++ b/src/cardamomgrade/recent.py
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen
-class RequestStory:
+class RequestExplanation:
     """The events of one request, oldest first."""
 
     request: str
@@ -60,11 +60,11 @@
         return list(self._events.get(request, ()))
 
     def explain(self, request):
-        """Return the RequestStory of a request id, or a Refusal when none is kept."""
+        """Return the RequestExplanation of a request id, or a Refusal without one."""
         events = self.find(request)
         if not events:
             return Refusal(Reason.UNKNOWN, f"no recent request {request}")
         decisions = (
             Decision(item.NUMBER, type(item).__name__, item) for item in events
         )
-        return RequestStory(request, tuple(decisions))
+        return RequestExplanation(request, tuple(decisions))
--- a/src/cardamomgrade/slots.py
+++ b/src/cardamomgrade/slots.py
@@ -41,7 +41,7 @@
         self._on_tokens = on_tokens or (lambda: None)
         self._started_at = self._ticked_at = self._resumed_at = clock()
         self._deadline_s = 0.0
-        self._proven_first = False
+        self._is_first_incarnation = False
         self._confirming_seats = set()
         self._home_counts = {}
         self._peer_seats = frozenset()
@@ -139,7 +139,7 @@
 
     def record_first_incarnation(self):
         """Record that the log shows no earlier incarnation of this seat."""
-        self._proven_first = True
+        self._is_first_incarnation = True
         self._unlock_if_due()
 
     def halted(self):
@@ -242,7 +242,7 @@
             or not self._peer_seats <= set(self._cleared_at)
         ):
             return
-        first = self._proven_first and not self._known_before
+        first = self._is_first_incarnation and not self._known_before
         since = max([self._started_at, *self._cleared_at.values()])
         if not first and self._clock() < since + self._quarantine_s():
             return
--- a/src/cardamomgrade/tokens.py
+++ b/src/cardamomgrade/tokens.py
@@ -117,10 +117,10 @@
 
 def raise_totals(totals, counts):
     """Raise running totals to the received ``counts``; return {endpoint: increase}."""
-    gained = {}
+    increases = {}
     for item in counts:
         known = totals.get(item.endpoint, 0)
         if item.count > known:
             totals[item.endpoint] = item.count
-            gained[item.endpoint] = item.count - known
-    return gained
+            increases[item.endpoint] = item.count - known
+    return increases
