--- a/scripts/bench_slots.py
+++ b/scripts/bench_slots.py
@@ -132,11 +132,11 @@
         counts = dict.fromkeys(ENDPOINTS, SLOTS)
         entry.slots.configure(counts, self.names(), DEADLINE_S)
         if first:
-            entry.slots.prove_first()
+            entry.slots.record_first_incarnation()
         for other in self.entries.values():
             if other is not entry and not other.frozen:
-                entry.slots.learn(other.name, other.incarnation)
-                other.slots.learn(name, own_incarnation)
+                entry.slots.record_incarnation(other.name, other.incarnation)
+                other.slots.record_incarnation(name, own_incarnation)
 
     def _slots(self, name, own_incarnation):
         if self.scheme == "shares":
--- a/src/cardamomgrade/entry.py
+++ b/src/cardamomgrade/entry.py
@@ -9,7 +9,7 @@
 from .entry_events import EntryStarted, EntryStopped, EntryStopping
 from .errors import SettingsError
 from .fleet import LEASE_MS
-from .journal import note, start_journal
+from .journal import note, start_logging
 from .keys import Keys
 from .leaving import LeavingVms
 from .link import Identity
@@ -164,11 +164,13 @@
         hooks = {"departures": self.leaving_vms or ()}
         if self.mesh:
             hooks |= {
-                "on_first": self.mesh.ledger.prove_first,
-                "on_vacant": self.mesh.ledger.note_vacant,
+                "on_first": self.mesh.ledger.record_first_incarnation,
+                "on_vacant": self.mesh.ledger.record_vacant_seats,
                 "on_raw": self.mesh.catchup.keep,
                 "relay": lambda record: self.mesh.relay(STREAM_FLEET, record),
-                "outage": lambda members: self.mesh.outage_known(members, LEASE_MS),
+                "outage": lambda members: self.mesh.peer_reports_outage(
+                    members, LEASE_MS
+                ),
             }
         return Member(
             self._loop,
@@ -251,9 +253,9 @@
         return port
 
     def stop(self):
-        """Shut down: finish open requests, append the leave to the log, end the loop.
+        """Shut down: finish open requests, append a MemberLeft, end the loop.
 
-        After DRAIN_LIMIT_S the open requests are abandoned, and no leave is appended.
+        After DRAIN_LIMIT_S the open requests are abandoned, without a MemberLeft.
         """
         if self._stopping:
             return
@@ -292,7 +294,7 @@
 
 def run(cfg):
     """Run an entry until it is stopped."""
-    start_journal("cardamom-entry", cfg.name)
+    start_logging("cardamom-entry", cfg.name)
     loop = Loop()
     Entry(loop, cfg).start()
     loop.run()
--- a/tests/steps/spec_code.py
+++ b/tests/steps/spec_code.py
@@ -231,7 +231,7 @@
         logged = records.Logged(offset, time_ms, record)
         won = whole.fold(logged)
         if offset == cut_to:
-            cut.lose(cut_to)
+            cut.restart_at(cut_to)
         if not cut_from <= offset < cut_to:
             known = cut.complete(time_ms, MEMORY_MS)
             won_in_cut = cut.fold(logged)
--- a/tests/steps/spec_newcomer.py
+++ b/tests/steps/spec_newcomer.py
@@ -16,13 +16,13 @@
     """Return whether the newcomer may send on its sponsor's heartbeat."""
     member = MemberJoined(SPONSOR, 1, "z", dict(world.addresses)[SPONSOR])
     mesh = world.peers[NEWCOMER].mesh
-    return mesh.outage_known({SPONSOR: member}, LEASE_MS)
+    return mesh.peer_reports_outage({SPONSOR: member}, LEASE_MS)
 
 
 def heartbeat_offset(mesh):
     """Return the offset in the last heartbeat of the sponsor, or None without one."""
-    last = mesh._sessions[SPONSOR].last
-    return last and last.offset
+    last_heartbeat = mesh._sessions[SPONSOR].last_heartbeat
+    return last_heartbeat and last_heartbeat.offset
 
 
 @given("a sponsor without the log and a newcomer that lacks its last records")
