--- a/src/cardamomgrade/budget.py
+++ b/src/cardamomgrade/budget.py
@@ -18,26 +18,26 @@
     """The VMs of a pool that serve while those of a batch are out of service.
 
     ``serving`` and ``required`` are numbers of VMs. ``rack`` is the rack with most
-    of the serving VMs, ``rack_vms`` their number in it. ``guarded`` is whether the
-    loss of that rack counts against the budget.
+    of the serving VMs, ``rack_vms`` their number in it. ``rack_loss_counted`` is
+    whether the loss of that rack counts against the budget.
     """
 
     serving: int
     required: int
     rack: str
     rack_vms: int
-    guarded: bool
+    rack_loss_counted: bool
 
     @property
     def spare(self):
         """The number of VMs above the requirement; the budget is broken below 0."""
-        rack_loss = self.rack_vms if self.guarded else 0
+        rack_loss = self.rack_vms if self.rack_loss_counted else 0
         return self.serving - rack_loss - self.required
 
     def __str__(self):
         rule = (
             f"rack {self.rack} may fail with {self.rack_vms}"
-            if self.guarded
+            if self.rack_loss_counted
             else "too small to also lose a rack"
         )
         return f"{self.serving} would serve, {self.required} must; {rule}"
@@ -73,7 +73,7 @@
         required=required,
         rack=rack,
         rack_vms=active_by_rack.get(rack, 0),
-        guarded=_tolerates_rack_loss(racks, required),
+        rack_loss_counted=_tolerates_rack_loss(racks, required),
     )
 
 
--- a/src/cardamomgrade/control.py
+++ b/src/cardamomgrade/control.py
@@ -32,7 +32,7 @@
     WaveExplained,
 )
 from .errors import SettingsError
-from .estate import Estate
+from .estate import PlatformClient
 from .explain import control_status, explain_vm, History
 from .follower import Follower
 from .intent import IntentSchedule, rank, shard_of
@@ -55,7 +55,7 @@
     settings_text,
 )
 from .snapshot import snapshot_records
-from .watch import PHASE_REBOOTING, Watch
+from .watch import PHASE_REBOOTING, VmWatch
 from .wave import Planner
 
 PROGRAM = "cardamom-control"
@@ -102,10 +102,10 @@
             on_bad=lambda offset, detail: note(RecordUnreadable(offset, detail)),
             on_fresh=self._on_fresh,
         )
-        self._estate = Estate(loop, net, cfg.vms)
-        self._watch = Watch(cfg.name)
+        self._platform = PlatformClient(loop, net, cfg.vms)
+        self._watch = VmWatch(cfg.name)
         self._history = History()
-        self._reboots = RebootCaller(cfg.name, self._estate, loop.now)
+        self._reboots = RebootCaller(cfg.name, self._platform, loop.now)
         self._planner = Planner()
         self._intents = IntentSchedule()
         self._retention = Retention(cfg.snapshot_s)
@@ -198,7 +198,7 @@
 
     def _poll(self):
         self._poll_timer = None
-        self._estate.list_vms(self._on_listed)
+        self._platform.list_vms(self._on_listed)
 
     def _on_listed(self, result):
         reachable = not isinstance(result, Refusal)
@@ -206,8 +206,8 @@
             self._platform_reachable = reachable
             note(PlatformReachable(reachable, "" if reachable else str(result)))
         if reachable:
-            self._metrics.count("list_bytes", self._estate.list_bytes)
-            self._watch.take(result, self._loop.now())
+            self._metrics.count("list_bytes", self._platform.list_bytes)
+            self._watch.update(result, self._loop.now())
         self._schedule_poll(self._poll_delay_s())
 
     def _poll_delay_s(self):
@@ -217,7 +217,7 @@
         whole list. The rate is higher while this control monitors a reboot.
         """
         rate = MONITOR_LIST_BYTES_PER_S if self._monitors_reboot() else LIST_BYTES_PER_S
-        wanted_s = self._estate.list_bytes / rate
+        wanted_s = self._platform.list_bytes / rate
         return min(max(wanted_s, LIST_INTERVAL_MIN_S), LIST_INTERVAL_MAX_S)
 
     def _monitors_reboot(self):
--- a/src/cardamomgrade/estate.py
+++ b/src/cardamomgrade/estate.py
@@ -67,7 +67,7 @@
     return listed
 
 
-class Estate:
+class PlatformClient:
     """Client of the platform; each call reports its outcome exactly once.
 
     ``list_bytes`` is the size of the last VM list as received.
--- a/src/cardamomgrade/fleet.py
+++ b/src/cardamomgrade/fleet.py
@@ -251,7 +251,7 @@
     ]
 
 
-def vms_to_clear(state, offset):
+def vms_to_drain(state, offset):
     """Return the names of a batch's VMs that have not rejoined after their reboot.
 
     A member confirms the drain when it has no running request on any of them.
--- a/src/cardamomgrade/leaving.py
+++ b/src/cardamomgrade/leaving.py
@@ -1,6 +1,6 @@
 """VMs that the platform's VM list shows as leaving, polled by an entry."""
 
-from .estate import Estate
+from .estate import PlatformClient
 
 POLL_INTERVAL_S = 1.0
 LIST_LIFETIME_S = 5.0
@@ -15,7 +15,7 @@
 
     def __init__(self, loop, net, address):
         self._loop = loop
-        self._platform = Estate(loop, net, address)
+        self._platform = PlatformClient(loop, net, address)
         self._leaving = frozenset()
         self._listed_at = 0.0
 
--- a/src/cardamomgrade/reboots.py
+++ b/src/cardamomgrade/reboots.py
@@ -38,9 +38,9 @@
     ``now()`` returns monotonic seconds.
     """
 
-    def __init__(self, name, estate, now):
+    def __init__(self, name, platform, now):
         self._name = name
-        self._estate = estate
+        self._platform = platform
         self._now = now
         self._orders = {}
 
@@ -73,7 +73,7 @@
         order.called = True
         order.last_call_s = now
         note(RebootCalled(vm, order.fence))
-        self._estate.reboot(vm, order.fence, partial(self._on_answered, vm, order))
+        self._platform.reboot(vm, order.fence, partial(self._on_answered, vm, order))
 
     def _on_answered(self, vm, order, result):
         outcome = str(result) if isinstance(result, Refusal) else OUTCOME_TAKEN
--- a/src/cardamomgrade/watch.py
+++ b/src/cardamomgrade/watch.py
@@ -8,8 +8,8 @@
 from .records import MemberGone, RebootOrdered, VmFailed, VmJoined, VmRecovered
 
 CONFIRM_POLLS = 2
-GONE_S = 10.0
-REORDER_S = 10.0
+MEMBER_GONE_AFTER_S = 10.0
+REBOOT_REORDER_AFTER_S = 10.0
 PHASE_REBOOTING = "rebooting"
 STATE_LIVE = "live"
 STATE_FAILED = "failed"
@@ -33,7 +33,7 @@
     since: float
 
 
-class Watch:
+class VmWatch:
     """Derives records from the VM lists that the log does not contain yet.
 
     ``control`` is the name of the control that appends them.
@@ -52,7 +52,7 @@
         """The last list as {name: ListedVm}."""
         return self._listed
 
-    def take(self, listed, now):
+    def update(self, listed, now):
         """Update the observations from a new list, {name: ListedVm}."""
         self._listed = listed
         for name in self._observations.keys() - listed.keys():
@@ -94,7 +94,7 @@
             return []
         if item.fence == vm.fence and item.state == STATE_LIVE:
             return [VmJoined(vm.batch, vm.name, vm.fence, self._control)]
-        if item.fence < vm.fence and now - order.since >= REORDER_S:
+        if item.fence < vm.fence and now - order.since >= REBOOT_REORDER_AFTER_S:
             return [RebootOrdered(vm.batch, vm.name, self._control)]
         return []
 
@@ -113,12 +113,13 @@
         return item is not None and item.state == STATE_LIVE
 
     def _member_records(self, name, member, now):
-        """Return MemberGone for an entry whose VM has not been listed for GONE_S.
+        """Return MemberGone for an entry whose VM has been missing from the lists.
 
-        An entry that is listed as failed may only be frozen and could resume sending
-        requests, so it stays a member whose acknowledgement is required.
+        It must have been missing for MEMBER_GONE_AFTER_S. An entry that is listed as
+        failed may only be frozen and could resume sending requests, so it stays a
+        member whose acknowledgement is required.
         """
         since = self._missing_since.get(name)
-        if since is None or now - since < GONE_S:
+        if since is None or now - since < MEMBER_GONE_AFTER_S:
             return []
         return [MemberGone(name, member.incarnation, self._control)]
--- a/src/cardamomgrade/wave.py
+++ b/src/cardamomgrade/wave.py
@@ -336,7 +336,7 @@
         budget = self._budget(pool, ordered[:1])
         if isinstance(budget, Refusal):
             return budget
-        if not budget.guarded:
+        if not budget.rack_loss_counted:
             return 1
         low, high = 1, min(len(ordered), BATCH_VMS_MAX)
         while low < high:
--- a/tests/steps/control.py
+++ b/tests/steps/control.py
@@ -25,7 +25,7 @@
 from cardamomgrade.server import HttpServer
 from cardamomgrade.snapshot import snapshot_records
 from cardamomgrade.standlog import LogStandin
-from cardamomgrade.watch import GONE_S, REORDER_S, Watch
+from cardamomgrade.watch import MEMBER_GONE_AFTER_S, REBOOT_REORDER_AFTER_S, VmWatch
 from fleets import fleet_log, rebooting_state
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -78,7 +78,7 @@
 
 
 def _records(watch, state, now, *items):
-    watch.take({item.vm: item for item in items}, now)
+    watch.update({item.vm: item for item in items}, now)
     return [type(record).__name__ for record in watch.records(state, now)]
 
 
@@ -86,7 +86,7 @@
 def step_failures(context):
     state = SimpleNamespace(vms=fleet_log().state.vms, members={})
     only = SimpleNamespace(vms={"a1": state.vms["a1"]}, members={})
-    watch = Watch("c")
+    watch = VmWatch("c")
     failed = _listed(state="failed")
     assert _records(watch, only, 0.0, failed) == []
     assert _records(watch, only, 1.0, failed) == ["VmFailed"]
@@ -99,7 +99,7 @@
 @then("a VM joins only when it is live with the fence of its last reboot order")
 def step_joins(context):
     state, fence = rebooting_state("a1")
-    watch = Watch("c")
+    watch = VmWatch("c")
     for item in (_listed(fence=fence - 1), _listed(state="rebooting", fence=fence)):
         assert "VmJoined" not in _records(watch, state, 0.0, item)
     assert "VmJoined" in _records(watch, state, 1.0, _listed(fence=fence))
@@ -108,13 +108,15 @@
 @then("a reboot order without effect is repeated only after ten seconds")
 def step_reorder(context):
     state, fence = rebooting_state("a1")
-    watch = Watch("c")
+    watch = VmWatch("c")
     item = _listed(fence=fence - 1)
     assert "RebootOrdered" not in _records(watch, state, 0.0, item)
-    assert "RebootOrdered" not in _records(watch, state, REORDER_S - 1, item)
+    assert "RebootOrdered" not in _records(
+        watch, state, REBOOT_REORDER_AFTER_S - 1, item
+    )
     begun = _listed(state="rebooting", fence=fence)
-    assert "RebootOrdered" not in _records(watch, state, REORDER_S, begun)
-    assert "RebootOrdered" in _records(watch, state, REORDER_S, item)
+    assert "RebootOrdered" not in _records(watch, state, REBOOT_REORDER_AFTER_S, begun)
+    assert "RebootOrdered" in _records(watch, state, REBOOT_REORDER_AFTER_S, item)
 
 
 @then(
@@ -123,19 +125,21 @@
 def step_gone(context):
     full = fleet_log().state
     state = SimpleNamespace(vms={}, members=full.members)
-    watch = Watch("c")
+    watch = VmWatch("c")
     assert _records(watch, state, 0.0) == [], "never listed"
     assert _records(watch, state, 1.0, _listed("e1", kind="entry")) == []
     assert _records(watch, state, 2.0) == []
-    assert _records(watch, state, 1.0 + GONE_S) == []
-    assert _records(watch, state, 2.0 + GONE_S) == ["MemberGone"]
+    assert _records(watch, state, 1.0 + MEMBER_GONE_AFTER_S) == []
+    assert _records(watch, state, 2.0 + MEMBER_GONE_AFTER_S) == ["MemberGone"]
     back = _listed("e1", kind="entry")
     assert _records(watch, state, 20.0, back) == []
     frozen = _listed("e1", state="failed", kind="entry")
     assert _records(watch, state, 21.0, frozen) == []
-    assert _records(watch, state, 22.0 + GONE_S, frozen) == [], "it may be frozen"
-    assert _records(watch, state, 23.0 + GONE_S) == []
-    assert _records(watch, state, 23.0 + 2 * GONE_S) == ["MemberGone"]
+    assert _records(watch, state, 22.0 + MEMBER_GONE_AFTER_S, frozen) == [], (
+        "it may be frozen"
+    )
+    assert _records(watch, state, 23.0 + MEMBER_GONE_AFTER_S) == []
+    assert _records(watch, state, 23.0 + 2 * MEMBER_GONE_AFTER_S) == ["MemberGone"]
 
 
 class _FakePlatform:
--- a/tests/steps/estate.py
+++ b/tests/steps/estate.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings, strategies as st
 
 from cardamomgrade.errors import PlatformError
-from cardamomgrade.estate import Estate, KINDS, parse_list, RebootTaken, STATES
+from cardamomgrade.estate import KINDS, parse_list, PlatformClient, RebootTaken, STATES
 from cardamomgrade.loop import Loop
 from cardamomgrade.net import Net
 from cardamomgrade.refusal import Reason
@@ -60,9 +60,9 @@
 
 @then("reboots are accepted, outdated, unavailable and unknown in turn")
 def step_reboots(context):
-    estate = Estate(context.loop, context.net, context.address)
+    client = PlatformClient(context.loop, context.net, context.address)
     results = [
-        ask(context.loop, lambda done, fence=fence: estate.reboot("a1", fence, done))
+        ask(context.loop, lambda done, fence=fence: client.reboot("a1", fence, done))
         for fence in (1, 2, 3, 4)
     ]
     assert results[0] == RebootTaken("a1", 1)
@@ -74,6 +74,6 @@
 @then("a reboot is unavailable when the platform cannot be reached")
 def step_gone(context):
     context.net.close_listeners()
-    estate = Estate(context.loop, context.net, context.address)
-    result = ask(context.loop, lambda done: estate.reboot("a1", 5, done))
+    client = PlatformClient(context.loop, context.net, context.address)
+    result = ask(context.loop, lambda done: client.reboot("a1", 5, done))
     assert result.reason is Reason.UNAVAILABLE
--- a/tests/steps/sessions.py
+++ b/tests/steps/sessions.py
@@ -20,7 +20,7 @@
     is_member,
     LEASE_MS,
     may_send,
-    vms_to_clear,
+    vms_to_drain,
 )
 
 DEADLINE_MS = 10_000
@@ -68,8 +68,8 @@
         for batch in batches_to_ack(entry.state, name, entry.incarnation):
             self.log.append(records.BatchAcked(name, entry.incarnation, batch))
         for batch in drains_to_confirm(entry.state, name, entry.incarnation):
-            clear = vms_to_clear(entry.state, batch)
-            if not any(entry.held.get(vm, -1) > self.log.time_ms for vm in clear):
+            vms = vms_to_drain(entry.state, batch)
+            if not any(entry.held.get(vm, -1) > self.log.time_ms for vm in vms):
                 record = records.DrainConfirmed(name, entry.incarnation, batch)
                 self.log.append(record)
 
--- a/tests/steps/wave_run.py
+++ b/tests/steps/wave_run.py
@@ -9,7 +9,7 @@
 from cardamomgrade.fleet import LEASE_MS, MARGIN_MS
 from cardamomgrade.ops import OpsClient
 from cardamomgrade.records import DrainStarted, MemberGone, RebootOrdered, Snapshot
-from cardamomgrade.watch import GONE_S
+from cardamomgrade.watch import MEMBER_GONE_AFTER_S
 from loops import ask
 from waves import KEY, WAVE_LIMIT_S, World
 
@@ -122,7 +122,7 @@
 @then("no drain starts and no entry is recorded as gone until it answers again")
 def step_wave_waits(context):
     world = context.world
-    world.rig.run_for(GONE_S + 2.0)
+    world.rig.run_for(MEMBER_GONE_AFTER_S + 2.0)
     assert not world.logged(DrainStarted)
     assert not world.logged(MemberGone)
     context.resume_entry()
--- a/tests/steps/whole.py
+++ b/tests/steps/whole.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from system import WAVE_LIMIT_S, Whole
+from system import WAVE_LIMIT_S, WholeSystem
 
 OUTAGE_S = 7.0
 
@@ -73,7 +73,7 @@
 def step_system(context):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
-    context.world = Whole(folder.name)
+    context.world = WholeSystem(folder.name)
     context.world.begin()
 
 
--- a/tests/system.py
+++ b/tests/system.py
@@ -30,7 +30,7 @@
 VMS_PER_POOL = 4
 
 
-class Whole:
+class WholeSystem:
     """The processes of one scenario; racks are processes of endpoints."""
 
     def __init__(self, folder):
