--- a/src/cardamomgrade/catchup.py
+++ b/src/cardamomgrade/catchup.py
@@ -38,7 +38,7 @@
         self._missing_reported = {}
         self._ring = Ring()
 
-    def keep(self, raw):
+    def store(self, raw):
         """Store raw fleet records [offset, time in ms, bytes] for peers."""
         self._ring.add([RawRecord(*item) for item in raw])
 
--- a/src/cardamomgrade/control.py
+++ b/src/cardamomgrade/control.py
@@ -98,8 +98,8 @@
             net,
             cfg.log,
             self._on_results,
-            on_lost=lambda earliest: note(RecordsLost(earliest)),
-            on_bad=lambda offset, detail: note(RecordUnreadable(offset, detail)),
+            on_truncated=lambda earliest: note(RecordsLost(earliest)),
+            on_unreadable=lambda offset, detail: note(RecordUnreadable(offset, detail)),
             on_fresh=self._on_fresh,
         )
         self._platform = PlatformClient(loop, net, cfg.vms)
@@ -142,7 +142,7 @@
         self._loop.finish()
 
     def _on_fresh(self):
-        if not self._caught_up and not self._follower.replica.waiting:
+        if not self._caught_up and not self._follower.replica.awaiting_snapshot:
             self._caught_up = True
             note(CaughtUp(self._follower.state.offset))
 
@@ -157,31 +157,31 @@
             else:
                 self._on_applied(item)
 
-    def _on_refused(self, step):
+    def _on_refused(self, folded):
         self._metrics.count("records_refused")
         if self._caught_up:
-            record = step.logged.record
+            record = folded.logged.record
             record_type, subject = type(record).__name__, subject_of(record)
             note(
                 RecordRefused(
-                    step.logged.offset, record_type, subject, str(step.refusal)
+                    folded.logged.offset, record_type, subject, str(folded.refusal)
                 )
             )
 
-    def _on_applied(self, step):
+    def _on_applied(self, folded):
         self._metrics.count("records_applied")
-        offset, record = step.logged.offset, step.logged.record
+        offset, record = folded.logged.offset, folded.logged.record
         if isinstance(record, RebootOrdered):
             self._reboots.add_order(record, offset)
             self._reschedule_poll()
         if isinstance(record, BundleRolled):
-            self._on_rolled(step)
+            self._on_rolled(folded)
         if self._caught_up:
             note(RecordApplied(offset, type(record).__name__, subject_of(record)))
 
-    def _on_rolled(self, step):
-        offset, bundle = step.logged.offset, step.state.bundle
-        delay_ms = max(0, int(time.time() * MS_PER_S) - step.logged.time_ms)
+    def _on_rolled(self, folded):
+        offset, bundle = folded.logged.offset, folded.state.bundle
+        delay_ms = max(0, int(time.time() * MS_PER_S) - folded.logged.time_ms)
         note(BundleInForce(offset, bundle.version, bundle.digest.hex(), delay_ms))
         if self._caught_up:
             self._metrics.time("rollout", delay_ms / MS_PER_S)
--- a/src/cardamomgrade/ctl.py
+++ b/src/cardamomgrade/ctl.py
@@ -24,7 +24,7 @@
 from .jobctl import job
 from .records import BundleProposed, BundleRolled, BundleSigned
 from .refusal import Reason, Refusal
-from .session import ask_ops, LogSession
+from .session import fetch_ops_pages, LogSession
 from .text import diff_text
 
 DIGEST_MIN_CHARS = 6
@@ -283,7 +283,7 @@
         NodePage(address, error=str(value))
         if isinstance(value, PeerError)
         else NodePage(address, value)
-        for address, value in ask_ops(addresses, key, target)
+        for address, value in fetch_ops_pages(addresses, key, target)
     ]
 
 
--- a/src/cardamomgrade/entry.py
+++ b/src/cardamomgrade/entry.py
@@ -152,7 +152,7 @@
         hooks = MeshHooks(
             status=self._mesh_status,
             on_raw=self._accept_raw,
-            on_fresh=lambda sent_s: self.member.freshen(sent_s),
+            on_fresh=lambda sent_s: self.member.extend_lease(sent_s),
             append=self._append_for_peer,
             on_missing=self._on_missing,
             on_superseded=lambda incarnation: self.stop(),
@@ -164,9 +164,9 @@
         hooks = {"departures": self.leaving_vms or ()}
         if self.mesh:
             hooks |= {
-                "on_first": self.mesh.ledger.prove_first,
-                "on_vacant": self.mesh.ledger.note_vacant,
-                "on_raw": self.mesh.catchup.keep,
+                "on_first_incarnation": self.mesh.ledger.prove_first,
+                "on_vacant_seats": self.mesh.ledger.note_vacant,
+                "on_raw": self.mesh.catchup.store,
                 "relay": lambda record: self.mesh.relay(STREAM_FLEET, record),
                 "outage": lambda members: self.mesh.outage_known(members, LEASE_MS),
             }
@@ -182,10 +182,10 @@
         )
 
     def _mesh_status(self):
-        self.member.note_freshness()
+        self.member.update_freshness()
         follower = self.member.follower
         return MeshStatus(
-            follower.feed.next_offset, self.keys.next_offset, follower.proof_s
+            follower.feed.next_offset, self.keys.next_offset, follower.tail_read_s
         )
 
     def _accept_raw(self, stream, raw):
@@ -203,7 +203,7 @@
         """
         follower = self.member.follower
         if not follower.feed.reachable and earliest > follower.feed.next_offset:
-            follower.lose(earliest)
+            follower.restart_at(earliest)
 
     def _views(self):
         return {
--- a/src/cardamomgrade/explain.py
+++ b/src/cardamomgrade/explain.py
@@ -126,17 +126,17 @@
         self._traces = {}
         self._batch_vms = {}
 
-    def add(self, step):
-        """Add the record of a Step of a Replica."""
-        logged, record = step.logged, step.logged.record
-        outcome = "applied" if step.refusal is None else str(step.refusal)
+    def add(self, folded):
+        """Add a FoldedRecord of a Replica."""
+        logged, record = folded.logged, folded.logged.record
+        outcome = "applied" if folded.refusal is None else str(folded.refusal)
         kind = type(record).__name__
         trace = Trace(logged.offset, logged.time_ms, kind, outcome)
-        for subject in self._subjects(logged, step.refusal):
+        for subject in self._subjects(logged, folded.refusal):
             known = self._traces.get(subject, ())
             self._traces[subject] = (*known, trace)[-self._limit :]
         batch = getattr(record, "batch", None)
-        if batch not in step.state.batches:
+        if batch not in folded.state.batches:
             self._batch_vms.pop(batch, None)
 
     def _subjects(self, logged, refusal):
--- a/src/cardamomgrade/feed.py
+++ b/src/cardamomgrade/feed.py
@@ -115,10 +115,10 @@
 
     - ``on_fresh(sent_s)`` is called when a read that was sent at ``sent_s`` has
       returned the tail and all records before it have been delivered.
-    - ``on_lost(earliest)`` is called when the next offset is no longer retained.
+    - ``on_truncated(earliest)`` is called when the next offset is no longer retained.
     - ``on_raw(raw)`` gets each list of raw records that were new.
-    - ``on_bad(offset, detail)`` is called for a record that cannot be decoded, or that
-      is of an unknown version or kind.
+    - ``on_unreadable(offset, detail)`` is called for a record that cannot be decoded
+      or is of an unknown version or kind.
     - ``rng`` is the random.Random of the retry delays.
     """
 
@@ -127,9 +127,11 @@
         self._stream = stream
         self._on_records = on_records
         self._on_fresh = hooks.get("on_fresh") or (lambda sent_s: None)
-        self._on_lost = hooks.get("on_lost") or (lambda earliest: None)
+        self._on_truncated = hooks.get("on_truncated") or (lambda earliest: None)
         self._on_raw = hooks.get("on_raw") or (lambda raw: None)
-        self._on_bad = hooks.get("on_bad") or (lambda offset, detail: None)
+        self._on_unreadable = hooks.get("on_unreadable") or (
+            lambda offset, detail: None
+        )
         rng = hooks.get("rng") or random.Random()
         self._reader = Requester(loop, net, address, BODY_LIMIT_BYTES)
         self._writer = Requester(loop, net, address)
@@ -156,7 +158,7 @@
     def _read_done(self, result, sent_s):
         status = result.status if isinstance(result, HttpResponse) else 0
         if status == 410:
-            self._on_lost(cbor2.loads(result.body)["earliest"])
+            self._on_truncated(cbor2.loads(result.body)["earliest"])
         if status != 200:
             self.reachable = False
             self._loop.call_later(self._backoff.next(), self._read)
@@ -201,10 +203,10 @@
         try:
             record = decode_record(data)
         except RecordError as exc:
-            self._on_bad(offset, str(exc))
+            self._on_unreadable(offset, str(exc))
             return None
         if isinstance(record, UnknownRecord):
-            self._on_bad(offset, f"version {record.version} kind {record.kind}")
+            self._on_unreadable(offset, f"version {record.version} kind {record.kind}")
         return record
 
     def append(self, record, on_done=None):
--- a/src/cardamomgrade/follower.py
+++ b/src/cardamomgrade/follower.py
@@ -6,11 +6,11 @@
 from .fleet import LEASE_MS
 from .records import STREAM_FLEET
 from .refusal import Reason, Refusal
-from .replica import Replica, Step
+from .replica import FoldedRecord, Replica
 
-SETTLE_S = 5.0
-BEAT_S = 0.5
-PAUSE_S = 5.0
+READ_BACK_TIMEOUT_S = 5.0
+PAUSE_CHECK_INTERVAL_S = 0.5
+PAUSE_MIN_S = 5.0
 MS_PER_S = 1000
 UNKNOWN_OFFSET = -1
 
@@ -33,13 +33,14 @@
 class Follower:
     """Keeps a Replica up to date from a Feed.
 
-    ``on_results(list)`` gets the Step and Restored items of each read. Optional hooks:
+    ``on_results(list)`` gets the FoldedRecord and Restored items of each read. Optional
+    hooks:
 
     - ``on_fresh()`` is called after each read that reached the tail.
     - ``on_resumed()`` is called when the state is fresh again after a pause of the
       process or after the lease has lapsed.
-    - ``on_lost(earliest)``, ``on_bad(offset, detail)``, ``on_raw(raw)`` and ``rng`` are
-      those of Feed.
+    - ``on_truncated(earliest)``, ``on_unreadable(offset, detail)``, ``on_raw(raw)`` and
+      ``rng`` are those of Feed.
     """
 
     def __init__(self, loop, net, address, on_results, **hooks):
@@ -47,11 +48,11 @@
         self._on_results = on_results
         self._on_fresh_hook = hooks.get("on_fresh") or (lambda: None)
         self._on_resumed = hooks.get("on_resumed") or (lambda: None)
-        self._on_lost_hook = hooks.get("on_lost") or (lambda earliest: None)
+        self._on_truncated_hook = hooks.get("on_truncated") or (lambda earliest: None)
         self._pending = []
         self._tail_read_s = None
         self._last_fold_s = 0.0
-        self._beat_s = loop.now()
+        self._last_check_s = loop.now()
         self._resumed_s = None
         self.replica = Replica()
         self.feed = Feed(
@@ -61,32 +62,33 @@
             STREAM_FLEET,
             self._on_records,
             on_fresh=self._on_fresh,
-            on_lost=self._on_lost,
-            on_bad=hooks.get("on_bad"),
+            on_truncated=self._on_truncated,
+            on_unreadable=hooks.get("on_unreadable"),
             on_raw=hooks.get("on_raw"),
             rng=hooks.get("rng"),
         )
 
     def start(self):
         """Start reading at the start of the stream."""
-        self._beat_s = self._loop.now()
-        self._loop.call_every(BEAT_S, self._beat)
+        self._last_check_s = self._loop.now()
+        self._loop.call_every(PAUSE_CHECK_INTERVAL_S, self._check_pause)
         self.feed.start()
 
-    def _beat(self):
+    def _check_pause(self):
         now = self._loop.now()
-        if now - self._beat_s > PAUSE_S:
+        if now - self._last_check_s > PAUSE_MIN_S:
             self._resumed_s = now
-        self._beat_s = now
+        self._last_check_s = now
 
     def paused(self):
         """Return whether the process was paused and has not read the tail since.
 
-        A pause is a gap of more than PAUSE_S between calls that are due every BEAT_S.
+        A pause is a gap of more than PAUSE_MIN_S between checks that are due every
+        PAUSE_CHECK_INTERVAL_S.
         A paused member may have been recorded as gone in the meantime, so that VMs
         drain without its acknowledgement.
         """
-        if self._loop.now() - self._beat_s > PAUSE_S:
+        if self._loop.now() - self._last_check_s > PAUSE_MIN_S:
             return True
         return self._resumed_s is not None
 
@@ -97,20 +99,20 @@
 
     def fresh(self):
         """Return whether a read sent less than LEASE_MS ago reached the tail."""
-        if self._tail_read_s is None or self.replica.waiting:
+        if self._tail_read_s is None or self.replica.awaiting_snapshot:
             return False
         return (self._loop.now() - self._tail_read_s) * MS_PER_S < LEASE_MS
 
     @property
-    def proof_s(self):
+    def tail_read_s(self):
         """When the last read that reached the tail was sent, or None.
 
         It is None also while the replica waits for a snapshot.
         """
-        return None if self.replica.waiting else self._tail_read_s
+        return None if self.replica.awaiting_snapshot else self._tail_read_s
 
-    def freshen(self, sent_s):
-        """Record that a read proves that the log before ``sent_s`` has been folded."""
+    def extend_lease(self, sent_s):
+        """Extend the lease, as a read sent at ``sent_s`` has reached the tail."""
         was_current = self.fresh() and not self.paused()
         self._tail_read_s = max(sent_s, self._tail_read_s or sent_s)
         if self._resumed_s is not None and sent_s >= self._resumed_s:
@@ -118,32 +120,32 @@
         if not was_current and self.fresh() and not self.paused():
             self._on_resumed()
 
-    def lose(self, earliest):
+    def restart_at(self, earliest):
         """Restart at ``earliest``, the first offset that can be read."""
-        self._on_lost(earliest)
+        self._on_truncated(earliest)
 
     def log_time_ms(self):
         """Return a lower bound of the log's clock now, in ms."""
         elapsed = self._loop.now() - self._last_fold_s if self._last_fold_s else 0.0
         return self.state.time_ms + int(elapsed * MS_PER_S)
 
-    def _on_lost(self, earliest):
+    def _on_truncated(self, earliest):
         self.replica.lost(earliest)
         self.feed.next_offset = earliest
-        self._on_lost_hook(earliest)
+        self._on_truncated_hook(earliest)
 
     def _on_records(self, batch):
         results = self.replica.take(batch)
         self._last_fold_s = self._loop.now()
         for item in results:
-            if isinstance(item, Step) and self._pending:
+            if isinstance(item, FoldedRecord) and self._pending:
                 self._match(item)
         self._on_results(results)
 
     def _on_fresh(self, sent_s):
-        self.freshen(sent_s)
+        self.extend_lease(sent_s)
         for pending in list(self._pending):
-            if 0 <= pending.append_ended_s <= sent_s - SETTLE_S:
+            if 0 <= pending.append_ended_s <= sent_s - READ_BACK_TIMEOUT_S:
                 refusal = Refusal(
                     Reason.UNKNOWN, "the appended record was not read back in time"
                 )
@@ -153,9 +155,9 @@
     def submit(self, record, on_verdict):
         """Append a record and call ``on_verdict`` once with the outcome.
 
-        The outcome is the Step of the record read back, or a Refusal: ``UNAVAILABLE``
-        if the log does not hold the record, ``UNKNOWN`` if it has not been read back
-        SETTLE_S after the append ended.
+        The outcome is the FoldedRecord read back, or a Refusal: ``UNAVAILABLE`` if the
+        log does not hold the record, ``UNKNOWN`` if it has not been read back
+        READ_BACK_TIMEOUT_S after the append ended.
         """
         pending = _Pending(record, on_verdict, self.feed.next_offset)
         self._pending.append(pending)
@@ -172,11 +174,11 @@
         else:
             self._resolve(pending, outcome)
 
-    def _match(self, step):
-        logged = step.logged
+    def _match(self, folded):
+        logged = folded.logged
         for pending in self._pending:
             if _matches(logged, pending):
-                self._resolve(pending, step)
+                self._resolve(pending, folded)
                 return
 
     def _resolve(self, pending, verdict):
--- a/src/cardamomgrade/keys.py
+++ b/src/cardamomgrade/keys.py
@@ -64,8 +64,8 @@
             STREAM_CLAIMS,
             self._on_records,
             on_fresh=self._on_fresh,
-            on_lost=self._on_lost,
-            on_bad=lambda offset, detail: note(
+            on_truncated=self._on_lost,
+            on_unreadable=lambda offset, detail: note(
                 BadLogRecord(STREAM_CLAIMS, offset, detail)
             ),
         )
--- a/src/cardamomgrade/kinds.py
+++ b/src/cardamomgrade/kinds.py
@@ -3,7 +3,7 @@
 import attrs
 
 
-def numbered(classes):
+def kind_registrar(classes):
     """Return ``kind(number)``, a class decorator that registers a class in ``classes``.
 
     It makes the class a frozen attrs class, sets its ``KIND`` to the number and adds
--- a/src/cardamomgrade/member.py
+++ b/src/cardamomgrade/member.py
@@ -27,7 +27,7 @@
     STREAM_FLEET,
 )
 from .refusal import Reason, Refusal
-from .replica import Step
+from .replica import FoldedRecord
 
 TICK_S = 0.1
 APPEND_RETRY_S = 1.0
@@ -60,7 +60,7 @@
         self.incarnation = max(last_known + 1, _time_ms())
 
 
-def owed_records(state, seat, held):
+def records_to_append(state, seat, held):
     """Return the list of records that a seat still has to append, given a FleetState.
 
     It is a MemberJoined until the state holds this incarnation, then a BatchAcked and
@@ -91,14 +91,15 @@
     - ``on_change()`` is called when the state has changed or requests may be sent
       again after a pause.
     - ``on_replaced()`` is called when a later incarnation has taken the seat.
-    - ``on_first()`` is called when the log shows no earlier incarnation of the seat.
-    - ``on_vacant(seats)`` gets the set of seats without a member, each time that the
-      state is proven fresh while a bundle is in force.
+    - ``on_first_incarnation()`` is called when the log shows no earlier incarnation of
+      the seat.
+    - ``on_vacant_seats(seats)`` gets the set of seats without a member, each time that
+      the state is proven fresh while a bundle is in force.
     - ``on_raw(raw)`` gets each list of new raw records.
     - ``held(vm)`` returns the number of requests in flight on a VM.
     - ``relay(record)`` asks a peer to append a record; it returns whether a peer could.
-    - ``outage(members)`` returns whether a live peer in the dict ``members`` has lost
-      its lease on the log.
+    - ``outage(members)`` returns whether the lease on the log of a live peer in the
+      dict ``members`` has lapsed.
     - ``departures`` is a container of the names of the VMs that the platform shows as
       leaving.
 
@@ -115,8 +116,8 @@
         self.seat = seat
         self._on_change = hooks["on_change"]
         self._on_replaced = hooks["on_replaced"]
-        self._on_first = hooks.get("on_first") or (lambda: None)
-        self._on_vacant = hooks.get("on_vacant") or (lambda seats: None)
+        self._on_first_incarnation = hooks.get("on_first_incarnation") or (lambda: None)
+        self._on_vacant_seats = hooks.get("on_vacant_seats") or (lambda seats: None)
         self._in_flight = hooks["held"]
         self._outage_known = hooks.get("outage") or (lambda members: False)
         self._leaving_vms = hooks.get("departures") or ()
@@ -130,8 +131,8 @@
             # No record marks the end of a pause; without this call, queued requests
             # would wait until the next record.
             on_resumed=self._on_change,
-            on_lost=self._on_lost,
-            on_bad=lambda offset, detail: note(
+            on_truncated=self._on_truncated,
+            on_unreadable=lambda offset, detail: note(
                 BadLogRecord(STREAM_FLEET, offset, detail)
             ),
             on_raw=hooks.get("on_raw"),
@@ -186,12 +187,12 @@
 
     def tick(self):
         """Update the freshness and append the records that are due."""
-        self.note_freshness()
+        self.update_freshness()
         if self._caught_up and not self._leaving:
             self._append_due()
 
-    def note_freshness(self):
-        """Log a lost or regained lease, and delay acknowledgements after the latter.
+    def update_freshness(self):
+        """Log a lapsed or regained lease, and delay acknowledgements after the latter.
 
         Call it before the age of the proof of freshness is sent to a peer.
         """
@@ -206,7 +207,7 @@
 
     def _append_due(self):
         now = self._loop.now()
-        pending = owed_records(self.state, self.seat, self._in_flight)
+        pending = records_to_append(self.state, self.seat, self._in_flight)
         self._retry_at = {
             record: due for record, due in self._retry_at.items() if record in pending
         }
@@ -234,34 +235,37 @@
         else:
             self.follower.submit(record, done)
 
-    def freshen(self, sent_s):
-        """Record a peer's proof that the log before ``sent_s`` has been folded."""
-        self.follower.freshen(sent_s)
+    def extend_lease(self, sent_s):
+        """Extend the lease, as a peer's read sent at ``sent_s`` has reached the tail.
+
+        The records before that tail must have been folded.
+        """
+        self.follower.extend_lease(sent_s)
         self._on_fresh()
 
     def _on_fresh(self):
-        self.note_freshness()
+        self.update_freshness()
         if not self._caught_up and self.follower.fresh():
             self._catch_up()
         if self.state.bundle is not None and self.follower.fresh():
             occupied = {self.seat.name, *self.state.members}
-            self._on_vacant(set(self.state.bundle.seats) - occupied)
+            self._on_vacant_seats(set(self.state.bundle.seats) - occupied)
         self.tick()
 
     def _catch_up(self):
         self._caught_up = True
         if not self._seat_used_before:
-            self._on_first()
+            self._on_first_incarnation()
         member = self.state.members.get(self.seat.name)
         if member is not None and member.incarnation >= self.seat.incarnation:
             self.seat.renew(member.incarnation)
 
-    def _on_lost(self, earliest):
+    def _on_truncated(self, earliest):
         note(LogTruncated(STREAM_FLEET, earliest))
         self._seat_used_before = True
 
     def _shows_prior_use(self, item):
-        if not isinstance(item, Step):
+        if not isinstance(item, FoldedRecord):
             return True
         record = item.logged.record
         return isinstance(record, MemberJoined) and record.entry == self.seat.name
--- a/src/cardamomgrade/messages.py
+++ b/src/cardamomgrade/messages.py
@@ -8,12 +8,12 @@
 import cbor2
 
 from .errors import PeerError
-from .kinds import numbered
+from .kinds import kind_registrar
 
 MESSAGE_VERSION = 1
 
 _CLASSES = {}
-_message = numbered(_CLASSES)
+_message = kind_registrar(_CLASSES)
 
 
 @attrs.frozen
--- a/src/cardamomgrade/records.py
+++ b/src/cardamomgrade/records.py
@@ -13,7 +13,7 @@
 import cbor2
 
 from .errors import RecordError
-from .kinds import numbered
+from .kinds import kind_registrar
 
 RECORD_VERSION = 1
 STREAM_FLEET = "fleet"
@@ -21,7 +21,7 @@
 STREAM_TASKS = "tasks"
 
 _CLASSES = {}
-_record = numbered(_CLASSES)
+_record = kind_registrar(_CLASSES)
 
 
 @attrs.frozen
--- a/src/cardamomgrade/replica.py
+++ b/src/cardamomgrade/replica.py
@@ -9,7 +9,7 @@
 
 
 @attrs.frozen
-class Step:
+class FoldedRecord:
     """A folded record, the state after it, and the fold's Refusal or None."""
 
     logged: object
@@ -30,14 +30,14 @@
     After ``lost``, records are buffered until there is a complete snapshot that reaches
     at least to the first retained record and to the state held before. So the state
     never goes back, and no record after the snapshot is skipped.
-    ``since_snapshot`` counts the records folded since the last complete snapshot, and
-    ``snapshot_offset`` is the offset of its first part, or -1.
+    ``records_since_snapshot`` counts the records folded since the last complete
+    snapshot, and ``snapshot_offset`` is the offset of its first part, or -1.
     """
 
     def __init__(self):
         self.state = FleetState()
-        self.waiting = False
-        self.since_snapshot = 0
+        self.awaiting_snapshot = False
+        self.records_since_snapshot = 0
         self.snapshot_offset = -1
         self._earliest = 0
         self._buffer = []
@@ -45,29 +45,29 @@
 
     def lost(self, earliest):
         """Restart at the first retained offset and wait for a snapshot."""
-        self.waiting = True
+        self.awaiting_snapshot = True
         self._earliest = earliest
         self._buffer = []
         self._incomplete = {}
 
     def take(self, batch):
-        """Fold a list of Logged; return a list of Step and Restored items in order."""
+        """Fold a list of Logged; return FoldedRecord and Restored items in order."""
         results = []
         for logged in batch:
-            if self.waiting:
+            if self.awaiting_snapshot:
                 results += self._buffer_record(logged)
             else:
                 results.append(self._fold(logged))
         return results
 
     def _fold(self, logged):
-        folded = fold(self.state, logged)
-        self.state = folded.state
+        result = fold(self.state, logged)
+        self.state = result.state
         if isinstance(logged.record, Snapshot):
             self._collect_part(logged, keep=False)
         else:
-            self.since_snapshot += 1
-        return Step(logged, folded.state, folded.refusal)
+            self.records_since_snapshot += 1
+        return FoldedRecord(logged, result.state, result.refusal)
 
     def _buffer_record(self, logged):
         self._buffer.append(logged)
@@ -78,10 +78,10 @@
         if not self._is_usable(state):
             return []
         buffered, self._buffer = self._buffer, []
-        self.waiting = False
+        self.awaiting_snapshot = False
         self.state = state
         rest = [item for item in buffered if item.offset >= state.offset]
-        self.since_snapshot = 0
+        self.records_since_snapshot = 0
         return [Restored(state.offset - 1), *(self._fold(item) for item in rest)]
 
     def _is_usable(self, state):
@@ -101,6 +101,6 @@
         if len(parts) < record.parts:
             return []
         del self._incomplete[key]
-        self.since_snapshot = 0
+        self.records_since_snapshot = 0
         self.snapshot_offset = first_offset
         return list(parts.values())
--- a/src/cardamomgrade/retention.py
+++ b/src/cardamomgrade/retention.py
@@ -45,9 +45,9 @@
         return True
 
     def _is_due(self, replica, status, now):
-        if replica.waiting or replica.state.offset == 0:
+        if replica.awaiting_snapshot or replica.state.offset == 0:
             return False
-        if replica.since_snapshot >= self._records_max:
+        if replica.records_since_snapshot >= self._records_max:
             return True
         if now - self._last_snapshot_s >= self._interval_s:
             return True
--- a/src/cardamomgrade/session.py
+++ b/src/cardamomgrade/session.py
@@ -9,10 +9,10 @@
 from .net import Net
 from .ops import OpsClient
 from .refusal import Reason, Refusal
-from .replica import Step
+from .replica import FoldedRecord
 from .wire import HttpResponse
 
-CATCH_UP_S = 8.0
+CATCH_UP_TIMEOUT_S = 8.0
 SUBMIT_TIMEOUT_S = 15.0
 OPS_TIMEOUT_S = 3.0
 
@@ -31,7 +31,7 @@
 
     def _on_results(self, results):
         for item in results:
-            if isinstance(item, Step):
+            if isinstance(item, FoldedRecord):
                 self.history.add(item)
 
     @property
@@ -45,17 +45,17 @@
         Raises FeedError if the log does not answer or holds no snapshot to start from.
         """
         self._follower.start()
-        if self._loop.run_until(self._follower.fresh, CATCH_UP_S):
+        if self._loop.run_until(self._follower.fresh, CATCH_UP_TIMEOUT_S):
             return
-        if self._follower.replica.waiting:
+        if self._follower.replica.awaiting_snapshot:
             raise FeedError("the log holds no snapshot to start from")
         raise FeedError("the log does not answer")
 
     def submit(self, record):
-        """Append a record; return the Step read back, or a Refusal of the append.
+        """Append a record; return the FoldedRecord, or a Refusal of the append.
 
         The Refusal has the reason ``UNAVAILABLE`` or ``UNKNOWN``. Whether the fold
-        refused the record is in the Step's ``refusal``.
+        refused the record is in the ``refusal`` of the FoldedRecord.
         """
         verdicts = []
         self._follower.submit(record, verdicts.append)
@@ -64,7 +64,7 @@
         return verdicts[0]
 
 
-def ask_ops(addresses, key, target):
+def fetch_ops_pages(addresses, key, target):
     """Fetch a page from several operators' addresses; return [(address, value)].
 
     A value is the data of the JSON page, or a PeerError with the reason of the failure.
--- a/tests/control.feature
+++ b/tests/control.feature
@@ -26,7 +26,7 @@
   Scenario: an append whose answer was lost gets its outcome from the log
     Given a follower of a log in this process
     When the log loses the answer to an append
-    Then the verdict is the step read from the log
+    Then the verdict is the record read from the log
 
   Scenario: an append that the log did not receive has an unknown outcome
     Given a follower of a log in this process
--- a/tests/fleets.py
+++ b/tests/fleets.py
@@ -73,8 +73,8 @@
 def _replay(records):
     logged = [Logged(index, TIME_MS, item) for index, item in enumerate(records)]
     replica = Replica()
-    for step in replica.take(logged):
-        assert step.refusal is None, (step.logged, step.refusal)
+    for item in replica.take(logged):
+        assert item.refusal is None, (item.logged, item.refusal)
     return FleetLog(logged, replica.state)
 
 
--- a/tests/steps/control.py
+++ b/tests/steps/control.py
@@ -13,14 +13,14 @@
 
 from cardamomgrade import follower as follower_module
 from cardamomgrade.estate import ListedVm, RebootTaken
-from cardamomgrade.follower import BEAT_S, Follower, PAUSE_S
+from cardamomgrade.follower import Follower, PAUSE_CHECK_INTERVAL_S, PAUSE_MIN_S
 from cardamomgrade.intent import IntentSchedule, rank
 from cardamomgrade.loop import Loop
 from cardamomgrade.net import Net
 from cardamomgrade.reboots import CALL_RETRY_S, RebootCaller
 from cardamomgrade.records import DrainStarted, Logged, RebootOrdered, VmFailed
 from cardamomgrade.refusal import Reason, Refusal
-from cardamomgrade.replica import Replica, Restored, Step
+from cardamomgrade.replica import FoldedRecord, Replica, Restored
 from cardamomgrade.retention import RANK_DELAY_S, Retention
 from cardamomgrade.server import HttpServer
 from cardamomgrade.snapshot import snapshot_records
@@ -201,7 +201,10 @@
 
     def replica(since, offset=0):
         return SimpleNamespace(
-            state=state, since_snapshot=since, snapshot_offset=offset, waiting=False
+            state=state,
+            records_since_snapshot=since,
+            snapshot_offset=offset,
+            awaiting_snapshot=False,
         )
 
     cases = (
@@ -271,12 +274,12 @@
         restored = Replica()
         restored.lost(end)
         assert restored.take([Logged(end, 0, bad)]) == []
-        assert restored.waiting, "restored a bad snapshot"
+        assert restored.awaiting_snapshot, "restored a bad snapshot"
     stale = Replica()
     stale.take([*logged, Logged(end, 0, VmFailed("a1", "c"))])
     stale.lost(end + 5)
     assert stale.take([Logged(end + 5, 0, part)]) == []
-    assert stale.waiting, "restored an older state"
+    assert stale.awaiting_snapshot, "restored an older state"
 
 
 @given_step("a follower of a log in this process")
@@ -304,7 +307,7 @@
     context.record = VmFailed("a1", "c")
     context.verdicts = []
     context.follower.submit(context.record, context.verdicts.append)
-    with mock.patch.object(follower_module, "SETTLE_S", 0.2):
+    with mock.patch.object(follower_module, "READ_BACK_TIMEOUT_S", 0.2):
         context.loop.run_until(lambda: bool(context.verdicts), WAIT_S)
         context.loop.run_until(lambda: False, 0.3)
 
@@ -327,10 +330,10 @@
     _submit(context)
 
 
-@then("the verdict is the step read from the log")
-def step_verdict_step(context):
+@then("the verdict is the record read from the log")
+def step_verdict_record(context):
     (verdict,) = context.verdicts
-    assert isinstance(verdict, Step) and verdict.logged.record == context.record
+    assert isinstance(verdict, FoldedRecord) and verdict.logged.record == context.record
     assert context.log.appends == 1, "appended again"
 
 
@@ -345,14 +348,14 @@
     assert not context.follower.paused()
     context.log.faults.log = "down"
     now = context.loop.now
-    context.loop.now = lambda: now() + 2 * PAUSE_S
+    context.loop.now = lambda: now() + 2 * PAUSE_MIN_S
 
 
 @then("the follower is paused until the log is back")
 def step_paused(context):
     loop, follower = context.loop, context.follower
     assert follower.paused(), "before the first callback"
-    loop.run_until(lambda: False, 3 * BEAT_S)
+    loop.run_until(lambda: False, 3 * PAUSE_CHECK_INTERVAL_S)
     assert follower.paused(), "not paused before a read of the tail"
     assert not follower.fresh(), "fresh before a read of the tail"
     context.log.faults.log = "up"
--- a/tests/steps/ctl.py
+++ b/tests/steps/ctl.py
@@ -49,7 +49,7 @@
 @when("the log is down")
 def step_log_down(context):
     _set_faults(context, log="down")
-    quick = mock.patch.object(session, "CATCH_UP_S", 0.5)
+    quick = mock.patch.object(session, "CATCH_UP_TIMEOUT_S", 0.5)
     quick.start()
     context.add_cleanup(quick.stop)
 
--- a/tests/steps/golden.py
+++ b/tests/steps/golden.py
@@ -19,7 +19,7 @@
 
 from cardamomgrade import records
 from cardamomgrade.bundle import parse_bundle
-from cardamomgrade.member import owed_records, Seat
+from cardamomgrade.member import records_to_append, Seat
 from cardamomgrade.wave import Planner
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -64,7 +64,7 @@
         self.seats = [Seat(name, "", f"{name}:1", 1) for name in first.seats]
         self._roll(first)
         for seat in self.seats:
-            self._append(self._owed_records(seat)[0])
+            self._append(self._records_to_append(seat)[0])
         self._roll(parse_bundle(self._second_version(text, first)))
 
     def run(self):
@@ -110,8 +110,8 @@
         self._append(records.BundleSigned(bundle.digest, "second-operator"))
         self._append(records.BundleRolled(bundle.digest, "first-operator"))
 
-    def _owed_records(self, seat):
-        return owed_records(self.log.state, seat, lambda vm: 0)
+    def _records_to_append(self, seat):
+        return records_to_append(self.log.state, seat, lambda vm: 0)
 
     def _answer_entries(self):
         """Append the records owed by entries; write a line for each type and batch."""
@@ -119,7 +119,7 @@
         for seat in self.seats:
             if seat.name == self.frozen_entry:
                 continue
-            for record in self._owed_records(seat):
+            for record in self._records_to_append(seat):
                 refusal = self.log.append(record)
                 key = (type(record).__name__, record.batch, refusal)
                 answers.setdefault(key, []).append(seat.name)
--- a/tests/steps/member.py
+++ b/tests/steps/member.py
@@ -42,7 +42,7 @@
         self._offset = 0
         records = rollout(parse_bundle(bundle_text()))
         self.take(*records, MemberJoined(ENTRIES[0], 7, "z0", "127.0.0.1:1"))
-        self.member.freshen(self.now)
+        self.member.extend_lease(self.now)
         self.member.seat.incarnation = 7
 
     def _changed(self):
@@ -59,7 +59,7 @@
         self.member.follower.feed.accept(raw)
 
     def acked(self):
-        self.member.freshen(self.now)
+        self.member.extend_lease(self.now)
         return any(isinstance(item, BatchAcked) for item in self.appended)
 
 
@@ -77,8 +77,8 @@
         if detection == "a tick":
             single.member.tick()
         else:
-            single.member.note_freshness()
-        single.member.freshen(single.now)
+            single.member.update_freshness()
+        single.member.extend_lease(single.now)
     single.take(BatchOpened("w", 1, ("a1",), "", single._offset - 1, "c"))
 
 
@@ -103,21 +103,21 @@
 def step_sends_nothing(context):
     single = context.single
     assert single.member.may_send("a1").reason is Reason.NOT_SERVING
-    single.member.freshen(single.now - 1.0)
+    single.member.extend_lease(single.now - 1.0)
     assert single.member.may_send("a1").reason is Reason.NOT_SERVING
-    single.member.follower._beat()
-    single.member.freshen(single.now + 0.1)
+    single.member.follower._check_pause()
+    single.member.extend_lease(single.now + 0.1)
     assert single.member.may_send("a1") is True
 
 
 @when("it has read the tail since")
 def step_read_tail(context):
     single = context.single
-    single.member.follower._beat()
+    single.member.follower._check_pause()
     single.changes = 0
     for _ in range(3):
         single.now += 0.1
-        single.member.freshen(single.now)
+        single.member.extend_lease(single.now)
 
 
 @then("it signals once that requests may be sent again")
--- a/tests/steps/mesh.py
+++ b/tests/steps/mesh.py
@@ -38,7 +38,7 @@
         for offset, _, _ in raw:
             if offset == self.offset:
                 self.offset += 1
-        self.mesh.catchup.keep(raw)
+        self.mesh.catchup.store(raw)
 
 
 class World:
--- a/tests/steps/spec_code.py
+++ b/tests/steps/spec_code.py
@@ -14,7 +14,7 @@
 from cardamomgrade.bundle import parse_bundle
 from cardamomgrade.claim import ClaimState
 from cardamomgrade.fleet import LEASE_MS, may_send
-from cardamomgrade.member import owed_records, Seat
+from cardamomgrade.member import records_to_append, Seat
 
 TICK_MS = LEASE_MS // barrier.LEASE
 DEADLINE_MS = barrier.DEADLINE * TICK_MS
@@ -90,7 +90,7 @@
 
     def _owed(self, e, kind):
         held = {VM: self.running[e]}
-        owed = owed_records(self.views[e], SEATS[e], lambda vm: held.get(vm, 0))
+        owed = records_to_append(self.views[e], SEATS[e], lambda vm: held.get(vm, 0))
         return next((item for item in owed if isinstance(item, kind)), None)
 
     def _acknowledge(self, e):
--- a/tests/waves.py
+++ b/tests/waves.py
@@ -10,7 +10,7 @@
 from cardamomgrade.net import Net, parse_address
 from cardamomgrade.records import BatchAcked, DrainConfirmed, MemberJoined
 from cardamomgrade.refusal import Refusal
-from cardamomgrade.replica import Step
+from cardamomgrade.replica import FoldedRecord
 from cardamomgrade.server import HttpServer, plain_response
 from fleets import bundle_text, ENTRIES, rollout, vm_names
 from harness import free_address, http, listening, Rig, start
@@ -32,7 +32,7 @@
         self.address = address
         self.withheld = set()
         self.silent = False
-        self.steps = []
+        self.folded_records = []
         self._submitted = set()
         self._net = Net(rig.loop)
         self._server = HttpServer(rig.loop, self._net, self._answer)
@@ -52,7 +52,9 @@
             exchange.respond(plain_response(200, "alive"))
 
     def _on_results(self, results):
-        self.steps += [item for item in results if isinstance(item, Step)]
+        self.folded_records += [
+            item for item in results if isinstance(item, FoldedRecord)
+        ]
         self._append_due()
 
     def _append_due(self):
@@ -174,9 +176,9 @@
     def logged(self, cls):
         """Return the Logged of all records of a class that the fold accepted."""
         return [
-            step.logged
-            for step in self.entries[0].steps
-            if isinstance(step.logged.record, cls) and step.refusal is None
+            item.logged
+            for item in self.entries[0].folded_records
+            if isinstance(item.logged.record, cls) and item.refusal is None
         ]
 
     def reboot_counts(self):
@@ -191,8 +193,8 @@
         """Return the highest number of VMs of one pool that were out at once."""
         return max(
             (
-                _vms_out(step.state, pool)
-                for step in self.entries[0].steps
+                _vms_out(item.state, pool)
+                for item in self.entries[0].folded_records
                 for pool in "ab"
             ),
             default=0,
