--- a/src/cardamomgrade/control.py
+++ b/src/cardamomgrade/control.py
@@ -292,12 +292,12 @@
     def _with_control(self, record):
         return attrs.evolve(record, control=self.cfg.name)
 
-    def _on_settled(self, record, verdict):
+    def _on_settled(self, record, outcome):
         self._intents.mark_settled(record, self._tick_count)
-        if isinstance(verdict, Refusal):
+        if isinstance(outcome, Refusal):
             self._metrics.count("intents_unsettled")
             record_type, subject = type(record).__name__, subject_of(record)
-            note(IntentUnsettled(record_type, subject, str(verdict)))
+            note(IntentUnsettled(record_type, subject, str(outcome)))
 
     def _write_snapshot(self):
         state = self._follower.state
--- a/src/cardamomgrade/decisions.py
+++ b/src/cardamomgrade/decisions.py
@@ -149,7 +149,7 @@
 
 @event(215)
 class RecordsLost:
-    """The log no longer has the next record; the control needs a snapshot."""
+    """The log no longer retains the next record; the control needs a snapshot."""
 
     earliest: int
 
--- a/src/cardamomgrade/entry.py
+++ b/src/cardamomgrade/entry.py
@@ -161,7 +161,7 @@
         return Mesh(self._loop, self._net, identity, self._cfg.peers, hooks)
 
     def _make_member(self, seat):
-        hooks = {"departures": self.leaving_vms or ()}
+        hooks = {"leaving_vms": self.leaving_vms or ()}
         if self.mesh:
             hooks |= {
                 "on_first_incarnation": self.mesh.ledger.prove_first,
--- a/src/cardamomgrade/fleet.py
+++ b/src/cardamomgrade/fleet.py
@@ -129,16 +129,16 @@
     ``quiet_after_ms`` therefore stays as it is.
     """
     if not is_member(state, record.entry, record.incarnation):
-        return _no_member(record)
+        return _refuse_non_member(record)
     quiet_after_ms = state.quiet_after_ms
     state = _drop_member(state, record.entry)
     return attrs.evolve(state, quiet_after_ms=quiet_after_ms)
 
 
-def _lose_member(state, record, offset):
+def _remove_gone_member(state, record, offset):
     """Fold MemberGone, which a control appends when the entry's VM is gone."""
     if not is_member(state, record.entry, record.incarnation):
-        return _no_member(record)
+        return _refuse_non_member(record)
     return _drop_member(state, record.entry)
 
 
@@ -156,7 +156,7 @@
     return attrs.evolve(state, members=members, batches=batches, quiet_after_ms=quiet)
 
 
-def _no_member(record):
+def _refuse_non_member(record):
     return Refusal(
         Reason.UNKNOWN,
         f"{record.entry} incarnation {record.incarnation} is not a member",
@@ -168,7 +168,7 @@
 
     def checked(state, record, offset):
         if not is_member(state, record.entry, record.incarnation):
-            return _no_member(record)
+            return _refuse_non_member(record)
         return handle(state, record, offset)
 
     return checked
@@ -195,7 +195,7 @@
     records.BundleRolled: rollout.roll,
     records.MemberJoined: _join_member,
     records.MemberLeft: _leave_member,
-    records.MemberGone: _lose_member,
+    records.MemberGone: _remove_gone_member,
     records.BatchOpened: open_batch,
     records.BatchAcked: _members_only(ack_batch),
     records.DrainStarted: start_drain,
--- a/src/cardamomgrade/follower.py
+++ b/src/cardamomgrade/follower.py
@@ -24,7 +24,7 @@
     """
 
     record: object
-    on_verdict: object
+    on_outcome: object
     first_offset: int
     offset: int = UNKNOWN_OFFSET
     append_ended_s: float = -1.0
@@ -152,14 +152,14 @@
                 self._resolve(pending, refusal)
         self._on_fresh_hook()
 
-    def submit(self, record, on_verdict):
-        """Append a record and call ``on_verdict`` once with the outcome.
+    def submit(self, record, on_outcome):
+        """Append a record and call ``on_outcome`` once with the outcome.
 
         The outcome is the FoldedRecord read back, or a Refusal: ``UNAVAILABLE`` if the
         log does not hold the record, ``UNKNOWN`` if it has not been read back
         READ_BACK_TIMEOUT_S after the append ended.
         """
-        pending = _Pending(record, on_verdict, self.feed.next_offset)
+        pending = _Pending(record, on_outcome, self.feed.next_offset)
         self._pending.append(pending)
         self.feed.append(record, lambda outcome: self._appended(pending, outcome))
 
@@ -181,9 +181,9 @@
                 self._resolve(pending, folded)
                 return
 
-    def _resolve(self, pending, verdict):
+    def _resolve(self, pending, outcome):
         self._pending.remove(pending)
-        pending.on_verdict(verdict)
+        pending.on_outcome(outcome)
 
 
 def _matches(logged, pending):
--- a/src/cardamomgrade/member.py
+++ b/src/cardamomgrade/member.py
@@ -100,7 +100,7 @@
     - ``relay(record)`` asks a peer to append a record; it returns whether a peer could.
     - ``outage(members)`` returns whether the lease on the log of a live peer in the
       dict ``members`` has lapsed.
-    - ``departures`` is a container of the names of the VMs that the platform shows as
+    - ``leaving_vms`` is a container of the names of the VMs that the platform shows as
       leaving.
 
     The entry has a lease on the log, and its state is fresh, for LEASE_MS after a read
@@ -120,7 +120,7 @@
         self._on_vacant_seats = hooks.get("on_vacant_seats") or (lambda seats: None)
         self._in_flight = hooks["held"]
         self._outage_known = hooks.get("outage") or (lambda members: False)
-        self._leaving_vms = hooks.get("departures") or ()
+        self._leaving_vms = hooks.get("leaving_vms") or ()
         self._relay = hooks.get("relay") or (lambda record: False)
         self.follower = Follower(
             loop,
@@ -225,9 +225,9 @@
         name = type(record).__name__
         note(AppendOwed(name, getattr(record, "batch", -1)))
 
-        def done(verdict):
-            if isinstance(verdict, Refusal):
-                note(AppendFailed(name, str(verdict)))
+        def done(outcome):
+            if isinstance(outcome, Refusal):
+                note(AppendFailed(name, str(outcome)))
             self._retry_at[record] = self._loop.now() + APPEND_RETRY_S
 
         if not self.follower.feed.reachable and self._relay(record):
--- a/src/cardamomgrade/records.py
+++ b/src/cardamomgrade/records.py
@@ -4,9 +4,10 @@
 record type, ``fields`` the array of its attributes in order. A section is encoded as
 ``[name, [[option, value], ...]]``.
 
-Terms: an entry is a process that routes requests; an incarnation numbers one run of it.
-A control plans maintenance and places tasks; ``control`` is the name of the one that
-appended a record. A fence is the offset of the record that permits an action.
+Terms: an entry is a process that routes requests. It occupies a seat, one of the names
+that the bundle lists; an incarnation numbers one occupation of a seat. A control plans
+maintenance and places tasks; ``control`` is the name of the one that appended a record.
+A fence is the offset of the record that permits an action.
 """
 
 import attrs
@@ -55,7 +56,7 @@
 
 @_record(2)
 class BundleSigned:
-    """Approves a proposed bundle; the signer must not be its author."""
+    """Signs off a proposed bundle; the signer must not be its author."""
 
     digest: bytes
     signer: str
@@ -63,7 +64,7 @@
 
 @_record(3)
 class BundleRolled:
-    """Puts a signed bundle in force in place of its parent."""
+    """Puts a signed-off bundle in force in place of its parent."""
 
     digest: bytes
     operator: str
--- a/src/cardamomgrade/session.py
+++ b/src/cardamomgrade/session.py
@@ -1,4 +1,4 @@
-"""Clients of an operator's command: of the log service and of operators' addresses."""
+"""Clients that operators' commands use: of the log and of the programs' ops pages."""
 
 import json
 
@@ -57,15 +57,15 @@
         The Refusal has the reason ``UNAVAILABLE`` or ``UNKNOWN``. Whether the fold
         refused the record is in the ``refusal`` of the FoldedRecord.
         """
-        verdicts = []
-        self._follower.submit(record, verdicts.append)
-        if not self._loop.run_until(lambda: bool(verdicts), SUBMIT_TIMEOUT_S):
+        outcomes = []
+        self._follower.submit(record, outcomes.append)
+        if not self._loop.run_until(lambda: bool(outcomes), SUBMIT_TIMEOUT_S):
             return Refusal(Reason.UNKNOWN, "not read back in time")
-        return verdicts[0]
+        return outcomes[0]
 
 
 def fetch_ops_pages(addresses, key, target):
-    """Fetch a page from several operators' addresses; return [(address, value)].
+    """Fetch a page from several ops addresses; return [(address, value)].
 
     A value is the data of the JSON page, or a PeerError with the reason of the failure.
     """
--- a/src/cardamomgrade/tasks.py
+++ b/src/cardamomgrade/tasks.py
@@ -2,9 +2,9 @@
 
 All readers of the same records have the same state. At most one attempt of a task is
 live. An attempt ends by a TaskEnded; one with the outcome lapsed is valid only when
-the log time is past the end of the lease and a margin. A placement is void if another
-placement on the same worker follows the record that it builds on, so that concurrent
-placers never allocate the same capacity twice.
+the log time is past the end of the lease and a margin. A placement is refused if
+another placement on the same worker follows the record that it builds on, so that
+concurrent placers never allocate the same capacity twice.
 """
 
 import hashlib
@@ -134,7 +134,7 @@
         }
 
     def fold(self, logged):
-        """Apply a record; return its Change, or a Refusal with the reason if void.
+        """Apply a record; return its Change, or a Refusal that leaves the tasks as is.
 
         A record below ``next_offset`` was applied before and has no effect.
         """
--- a/tests/control.feature
+++ b/tests/control.feature
@@ -26,17 +26,17 @@
   Scenario: an append whose answer was lost gets its outcome from the log
     Given a follower of a log in this process
     When the log loses the answer to an append
-    Then the verdict is the record read from the log
+    Then the outcome of the append is the record read from the log
 
   Scenario: an append that the log did not receive has an unknown outcome
     Given a follower of a log in this process
     When the log drops an append
-    Then the verdict is unknown
+    Then the outcome of the append is unknown
 
   Scenario: an append is unavailable while the log is down
     Given a follower of a log in this process
     When the log is down for an append
-    Then the verdict is unavailable
+    Then the outcome of the append is unavailable
 
   Scenario: a follower is paused after a suspension until it has read the tail
     Given a follower of a log in this process
--- a/tests/placement.feature
+++ b/tests/placement.feature
@@ -7,7 +7,7 @@
   Scenario: two placers that have read different offsets never allocate the same capacity twice
     Given two placers, one of which has not read the submission of an urgent task
     When both place a task on the same worker
-    Then the later placement is void and its task is placed when the other has ended
+    Then the later placement is refused and its task is placed when the other has ended
 
   Scenario Outline: a non-urgent task is preempted for an urgent one by <action>
     Given a worker of 8 cores, 8000 MB and 1 accelerators
--- a/tests/steps/control.py
+++ b/tests/steps/control.py
@@ -305,10 +305,10 @@
 
 def _submit(context):
     context.record = VmFailed("a1", "c")
-    context.verdicts = []
-    context.follower.submit(context.record, context.verdicts.append)
+    context.outcomes = []
+    context.follower.submit(context.record, context.outcomes.append)
     with mock.patch.object(follower_module, "READ_BACK_TIMEOUT_S", 0.2):
-        context.loop.run_until(lambda: bool(context.verdicts), WAIT_S)
+        context.loop.run_until(lambda: bool(context.outcomes), WAIT_S)
         context.loop.run_until(lambda: False, 0.3)
 
 
@@ -330,17 +330,17 @@
     _submit(context)
 
 
-@then("the verdict is the record read from the log")
-def step_verdict_record(context):
-    (verdict,) = context.verdicts
-    assert isinstance(verdict, FoldedRecord) and verdict.logged.record == context.record
+@then("the outcome of the append is the record read from the log")
+def step_outcome_record(context):
+    (outcome,) = context.outcomes
+    assert isinstance(outcome, FoldedRecord) and outcome.logged.record == context.record
     assert context.log.appends == 1, "appended again"
 
 
-@then("the verdict is {reason}")
-def step_verdict(context, reason):
-    (verdict,) = context.verdicts
-    assert verdict.reason is Reason(reason), verdict
+@then("the outcome of the append is {reason}")
+def step_outcome(context, reason):
+    (outcome,) = context.outcomes
+    assert outcome.reason is Reason(reason), outcome
 
 
 @when("the process is suspended while the log is down")
--- a/tests/steps/golden.py
+++ b/tests/steps/golden.py
@@ -101,9 +101,9 @@
             if field.name not in HIDDEN_FIELDS
         ]
         entry = getattr(record, "entry", "")
-        verdict = f"  refused, {refusal}" if refusal is not None else ""
+        suffix = f"  refused, {refusal}" if refusal is not None else ""
         parts = [f"#{offset}", type(record).__name__, entry, *fields]
-        self._write(" ".join(part for part in parts if part) + verdict)
+        self._write(" ".join(part for part in parts if part) + suffix)
 
     def _roll(self, bundle):
         self._append(self.log.proposal(bundle))
@@ -114,7 +114,7 @@
         return records_to_append(self.log.state, seat, lambda vm: 0)
 
     def _answer_entries(self):
-        """Append the records owed by entries; write a line for each type and batch."""
+        """Append the records due from entries; write a line for each type and batch."""
         answers = {}
         for seat in self.seats:
             if seat.name == self.frozen_entry:
@@ -124,8 +124,8 @@
                 key = (type(record).__name__, record.batch, refusal)
                 answers.setdefault(key, []).append(seat.name)
         for (record_type, batch, refusal), names in answers.items():
-            verdict = f"  refused, {refusal}" if refusal is not None else ""
-            self._write(f"{record_type} batch={batch} by {', '.join(names)}{verdict}")
+            suffix = f"  refused, {refusal}" if refusal is not None else ""
+            self._write(f"{record_type} batch={batch} by {', '.join(names)}{suffix}")
 
     def _inject_faults(self, number):
         vms = sorted(self.log.state.vms)
--- a/tests/steps/member.py
+++ b/tests/steps/member.py
@@ -48,7 +48,7 @@
     def _changed(self):
         self.changes += 1
 
-    def _submit(self, record, on_verdict):
+    def _submit(self, record, on_outcome):
         self.appended.append(record)
 
     def take(self, *records):
--- a/tests/steps/placement.py
+++ b/tests/steps/placement.py
@@ -186,8 +186,8 @@
     assert [item.record.task for item in cluster.of(TaskSent)] == ["new", "old"]
 
 
-@then("the later placement is void and its task is placed when the other has ended")
-def later_placement_void(context):
+@then("the later placement is refused and its task is placed when the other has ended")
+def later_placement_refused(context):
     cluster = context.cluster
     (task,) = cluster.live()
     assert task.spec.task == "new"
--- a/tests/steps/sessions.py
+++ b/tests/steps/sessions.py
@@ -26,7 +26,7 @@
 DEADLINE_MS = 10_000
 ENTRIES = ("e1", "e2", "e3")
 ACTIONS = (
-    "read", "read", "tell", "tell", "send", "send", "send", "open", "drain", "sync",
+    "read", "read", "answer", "answer", "send", "send", "send", "open", "drain", "sync",
     "sync", "sync", "reboot", "reboot", "join", "kill", "leave", "wait", "wait_out",
 )  # fmt: skip
 SESSION_CHOICES = st.lists(
@@ -49,8 +49,8 @@
 class Session:
     def __init__(self):
         self.log = FleetLog()
-        estate = bundle_options(a_vms=4, service_t={"deadline_ms": DEADLINE_MS})
-        self.log.start(parse_bundle(bundle_text(estate)), ENTRIES)
+        options = bundle_options(a_vms=4, service_t={"deadline_ms": DEADLINE_MS})
+        self.log.start(parse_bundle(bundle_text(options)), ENTRIES)
         self.entries = {name: FakeEntry() for name in ENTRIES}
         self.running = []
         self.reboots = 0
@@ -63,7 +63,7 @@
             entry.state = fold(entry.state, logged).state
         entry.fresh_ms = self.log.time_ms
 
-    def tell(self, name, pick):
+    def answer(self, name, pick):
         entry = self.entries[name]
         for batch in batches_to_ack(entry.state, name, entry.incarnation):
             self.log.append(records.BatchAcked(name, entry.incarnation, batch))
@@ -77,7 +77,7 @@
         for other in ENTRIES:
             if other != name:
                 self.read(other, pick)
-                self.tell(other, pick)
+                self.answer(other, pick)
 
     def send(self, name, pick):
         entry = self.entries[name]
--- a/tests/steps/spec_code.py
+++ b/tests/steps/spec_code.py
@@ -30,9 +30,9 @@
     """
 
     def __init__(self):
-        estate = bundle_options(service_s={"deadline_ms": DEADLINE_MS})
+        options = bundle_options(service_s={"deadline_ms": DEADLINE_MS})
         self.log = FleetLog()
-        self.log.start(parse_bundle(bundle_text(estate)))
+        self.log.start(parse_bundle(bundle_text(options)))
         self.views = [self.log.state] * 2
         self.reads = [self.log.state] * 2
         self.ages = [0, 0]
@@ -88,16 +88,16 @@
             self.views[e] = self.reads[e]
         self.ages[e] = min(self.ages[e], self.read_ages[e])
 
-    def _owed(self, e, kind):
+    def _record_to_append(self, e, kind):
         held = {VM: self.running[e]}
-        owed = records_to_append(self.views[e], SEATS[e], lambda vm: held.get(vm, 0))
-        return next((item for item in owed if isinstance(item, kind)), None)
+        pending = records_to_append(self.views[e], SEATS[e], lambda vm: held.get(vm, 0))
+        return next((item for item in pending if isinstance(item, kind)), None)
 
     def _acknowledge(self, e):
-        self.acks[e] = self._owed(e, records.BatchAcked) or self.acks[e]
+        self.acks[e] = self._record_to_append(e, records.BatchAcked) or self.acks[e]
 
     def _confirm(self, e):
-        self.confirms[e] = self._owed(e, records.DrainConfirmed)
+        self.confirms[e] = self._record_to_append(e, records.DrainConfirmed)
         return self.confirms[e] is not None
 
     def _batchacked(self, e):
@@ -199,12 +199,12 @@
 @then("a VM removed and added to another pool is moved by a batch only")
 def step_readded(context):
     log = FleetLog()
-    estate = bundle_options()
-    log.start(parse_bundle(bundle_text(estate)))
+    options = bundle_options()
+    log.start(parse_bundle(bundle_text(options)))
     former = log.state
-    moved = {**estate[f"vm {VM}"], "pool": "b"}
+    moved = {**options[f"vm {VM}"], "pool": "b"}
     for version, vms in ((2, {}), (3, {f"vm {VM}": moved})):
-        text = {**estate, "bundle": {**estate["bundle"], "version": version}, **vms}
+        text = {**options, "bundle": {**options["bundle"], "version": version}, **vms}
         if not vms:
             del text[f"vm {VM}"]
         log.roll(parse_bundle(bundle_text(text)))
--- a/tests/waves.py
+++ b/tests/waves.py
@@ -81,8 +81,8 @@
             return
         self._submitted.add(record)
 
-        def settled(verdict):
-            if isinstance(verdict, Refusal):
+        def settled(outcome):
+            if isinstance(outcome, Refusal):
                 self._submitted.discard(record)
 
         self.follower.submit(record, settled)
