--- a/src/cardamomgrade/estate.py
+++ b/src/cardamomgrade/estate.py
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class RebootTaken:
+class RebootAccepted:
     """The platform accepted a reboot with ``fence``."""
 
     vm: str
@@ -98,7 +98,7 @@
         )
 
     def reboot(self, vm, fence, on_done):
-        """Request a reboot; call ``on_done`` with RebootTaken or a Refusal.
+        """Request a reboot; call ``on_done`` with RebootAccepted or a Refusal.
 
         ``Reason.OUTDATED``: the platform has seen this or a higher fence;
         ``UNAVAILABLE``: the request had no effect; ``UNKNOWN``: it may have had one.
@@ -106,7 +106,7 @@
 
         def done(result):
             if isinstance(result, HttpResponse) and result.status == 200:
-                on_done(RebootTaken(vm, fence))
+                on_done(RebootAccepted(vm, fence))
             elif isinstance(result, HttpResponse) and result.status == 409:
                 on_done(Refusal(Reason.OUTDATED, f"{vm}: fence {fence} is not newer"))
             else:
--- a/src/cardamomgrade/member.py
+++ b/src/cardamomgrade/member.py
@@ -32,7 +32,7 @@
 TICK_S = 0.1
 APPEND_RETRY_S = 1.0
 LEAVE_TIMEOUT_S = 3.0
-ACK_HOLD_S = 5.0
+ACK_DELAY_S = 5.0
 MS_PER_S = 1000
 NS_PER_MS = 10**6
 
@@ -199,7 +199,7 @@
         fresh = self.follower.fresh()
         if fresh and not self._was_fresh and self._caught_up:
             deadline_s = self.state.deadline_peak_ms / MS_PER_S
-            self._ack_after_s = self._loop.now() + ACK_HOLD_S + deadline_s
+            self._ack_after_s = self._loop.now() + ACK_DELAY_S + deadline_s
         if fresh != self._was_fresh:
             event = FreshnessRegained if fresh else FreshnessLost
             note(event(self.state.offset))
--- a/tests/steps/control.py
+++ b/tests/steps/control.py
@@ -12,7 +12,7 @@
 from hypothesis import given, settings, strategies as st
 
 from cardamomgrade import follower as follower_module
-from cardamomgrade.estate import ListedVm, RebootTaken
+from cardamomgrade.estate import ListedVm, RebootAccepted
 from cardamomgrade.follower import Follower, PAUSE_CHECK_INTERVAL_S, PAUSE_MIN_S
 from cardamomgrade.intent import IntentSchedule, rank
 from cardamomgrade.loop import Loop
@@ -151,7 +151,7 @@
 
     def reboot(self, vm, fence, on_done):
         self.calls.append(fence)
-        on_done(self._answers.pop(0) if self._answers else RebootTaken(vm, fence))
+        on_done(self._answers.pop(0) if self._answers else RebootAccepted(vm, fence))
 
 
 @then("a reboot is called once, and not after a newer order or a join")
--- a/tests/steps/estate.py
+++ b/tests/steps/estate.py
@@ -6,7 +6,13 @@
 from hypothesis import given, settings, strategies as st
 
 from cardamomgrade.errors import PlatformError
-from cardamomgrade.estate import KINDS, parse_list, PlatformClient, RebootTaken, STATES
+from cardamomgrade.estate import (
+    KINDS,
+    parse_list,
+    PlatformClient,
+    RebootAccepted,
+    STATES,
+)
 from cardamomgrade.loop import Loop
 from cardamomgrade.net import Net
 from cardamomgrade.refusal import Reason
@@ -65,7 +71,7 @@
         ask(context.loop, lambda done, fence=fence: client.reboot("a1", fence, done))
         for fence in (1, 2, 3, 4)
     ]
-    assert results[0] == RebootTaken("a1", 1)
+    assert results[0] == RebootAccepted("a1", 1)
     reasons = [result.reason for result in results[1:]]
     assert reasons == [Reason.OUTDATED, Reason.UNAVAILABLE, Reason.UNKNOWN], reasons
     assert context.fences == [1, 2, 3, 4], "a call was repeated or not sent"
--- a/tests/steps/member.py
+++ b/tests/steps/member.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from cardamomgrade.bundle import parse_bundle
-from cardamomgrade.member import ACK_HOLD_S, Member, Seat
+from cardamomgrade.member import ACK_DELAY_S, Member, Seat
 from cardamomgrade.records import (
     BatchAcked,
     BatchOpened,
@@ -85,7 +85,7 @@
 @then("it acknowledges the batch only after the fixed delay and the longest deadline")
 def step_ack(context):
     single = context.single
-    end = single.now + ACK_HOLD_S + DEADLINE_S
+    end = single.now + ACK_DELAY_S + DEADLINE_S
     while single.now < end:
         assert not single.acked(), single.now
         single.now += STEP_S
