--- a/src/cardamomgrade/control.py
+++ b/src/cardamomgrade/control.py
@@ -32,7 +32,7 @@
     WaveExplained,
 )
 from .errors import SettingsError
-from .estate import Estate
+from .estate import PlatformClient
 from .explain import control_status, explain_vm, History
 from .follower import Follower
 from .intent import IntentSchedule, rank, shard_of
@@ -55,7 +55,7 @@
     settings_text,
 )
 from .snapshot import snapshot_records
-from .watch import PHASE_REBOOTING, Watch
+from .watch import PHASE_REBOOTING, VmWatch
 from .wave import Planner
 
 PROGRAM = "cardamom-control"
@@ -98,14 +98,14 @@
             net,
             cfg.log,
             self._on_results,
-            on_lost=lambda earliest: note(RecordsLost(earliest)),
-            on_bad=lambda offset, detail: note(RecordUnreadable(offset, detail)),
+            on_truncated=lambda earliest: note(RecordsLost(earliest)),
+            on_unreadable=lambda offset, detail: note(RecordUnreadable(offset, detail)),
             on_fresh=self._on_fresh,
         )
-        self._estate = Estate(loop, net, cfg.vms)
-        self._watch = Watch(cfg.name)
+        self._platform = PlatformClient(loop, net, cfg.vms)
+        self._watch = VmWatch(cfg.name)
         self._history = History()
-        self._reboots = RebootCaller(cfg.name, self._estate, loop.now)
+        self._reboots = RebootCaller(cfg.name, self._platform, loop.now)
         self._planner = Planner()
         self._intents = IntentSchedule()
         self._retention = Retention(cfg.snapshot_s)
@@ -142,7 +142,7 @@
         self._loop.finish()
 
     def _on_fresh(self):
-        if not self._caught_up and not self._follower.replica.waiting:
+        if not self._caught_up and not self._follower.replica.awaiting_snapshot:
             self._caught_up = True
             note(CaughtUp(self._follower.state.offset))
 
@@ -157,31 +157,31 @@
             else:
                 self._on_applied(item)
 
-    def _on_refused(self, step):
+    def _on_refused(self, folded):
         self._metrics.count("records_refused")
         if self._caught_up:
-            record = step.logged.record
+            record = folded.logged.record
             record_type, subject = type(record).__name__, subject_of(record)
             note(
                 RecordRefused(
-                    step.logged.offset, record_type, subject, str(step.refusal)
+                    folded.logged.offset, record_type, subject, str(folded.refusal)
                 )
             )
 
-    def _on_applied(self, step):
+    def _on_applied(self, folded):
         self._metrics.count("records_applied")
-        offset, record = step.logged.offset, step.logged.record
+        offset, record = folded.logged.offset, folded.logged.record
         if isinstance(record, RebootOrdered):
             self._reboots.add_order(record, offset)
             self._reschedule_poll()
         if isinstance(record, BundleRolled):
-            self._on_rolled(step)
+            self._on_rolled(folded)
         if self._caught_up:
             note(RecordApplied(offset, type(record).__name__, subject_of(record)))
 
-    def _on_rolled(self, step):
-        offset, bundle = step.logged.offset, step.state.bundle
-        delay_ms = max(0, int(time.time() * MS_PER_S) - step.logged.time_ms)
+    def _on_rolled(self, folded):
+        offset, bundle = folded.logged.offset, folded.state.bundle
+        delay_ms = max(0, int(time.time() * MS_PER_S) - folded.logged.time_ms)
         note(BundleInForce(offset, bundle.version, bundle.digest.hex(), delay_ms))
         if self._caught_up:
             self._metrics.time("rollout", delay_ms / MS_PER_S)
@@ -198,7 +198,7 @@
 
     def _poll(self):
         self._poll_timer = None
-        self._estate.list_vms(self._on_listed)
+        self._platform.list_vms(self._on_listed)
 
     def _on_listed(self, result):
         reachable = not isinstance(result, Refusal)
@@ -206,8 +206,8 @@
             self._platform_reachable = reachable
             note(PlatformReachable(reachable, "" if reachable else str(result)))
         if reachable:
-            self._metrics.count("list_bytes", self._estate.list_bytes)
-            self._watch.take(result, self._loop.now())
+            self._metrics.count("list_bytes", self._platform.list_bytes)
+            self._watch.update(result, self._loop.now())
         self._schedule_poll(self._poll_delay_s())
 
     def _poll_delay_s(self):
@@ -217,7 +217,7 @@
         whole list. The rate is higher while this control monitors a reboot.
         """
         rate = MONITOR_LIST_BYTES_PER_S if self._monitors_reboot() else LIST_BYTES_PER_S
-        wanted_s = self._estate.list_bytes / rate
+        wanted_s = self._platform.list_bytes / rate
         return min(max(wanted_s, LIST_INTERVAL_MIN_S), LIST_INTERVAL_MAX_S)
 
     def _monitors_reboot(self):
@@ -292,12 +292,12 @@
     def _with_control(self, record):
         return attrs.evolve(record, control=self.cfg.name)
 
-    def _on_settled(self, record, verdict):
+    def _on_settled(self, record, outcome):
         self._intents.mark_settled(record, self._tick_count)
-        if isinstance(verdict, Refusal):
+        if isinstance(outcome, Refusal):
             self._metrics.count("intents_unsettled")
             record_type, subject = type(record).__name__, subject_of(record)
-            note(IntentUnsettled(record_type, subject, str(verdict)))
+            note(IntentUnsettled(record_type, subject, str(outcome)))
 
     def _write_snapshot(self):
         state = self._follower.state
--- a/src/cardamomgrade/entry.py
+++ b/src/cardamomgrade/entry.py
@@ -152,7 +152,7 @@
         hooks = MeshHooks(
             status=self._mesh_status,
             on_raw=self._accept_raw,
-            on_fresh=lambda sent_s: self.member.freshen(sent_s),
+            on_fresh=lambda sent_s: self.member.extend_lease(sent_s),
             append=self._append_for_peer,
             on_missing=self._on_missing,
             on_superseded=lambda incarnation: self.stop(),
@@ -161,12 +161,12 @@
         return Mesh(self._loop, self._net, identity, self._cfg.peers, hooks)
 
     def _make_member(self, seat):
-        hooks = {"departures": self.leaving_vms or ()}
+        hooks = {"leaving_vms": self.leaving_vms or ()}
         if self.mesh:
             hooks |= {
-                "on_first": self.mesh.ledger.record_first_incarnation,
-                "on_vacant": self.mesh.ledger.record_vacant_seats,
-                "on_raw": self.mesh.catchup.keep,
+                "on_first_incarnation": self.mesh.ledger.record_first_incarnation,
+                "on_vacant_seats": self.mesh.ledger.record_vacant_seats,
+                "on_raw": self.mesh.catchup.store,
                 "relay": lambda record: self.mesh.relay(STREAM_FLEET, record),
                 "outage": lambda members: self.mesh.peer_reports_outage(
                     members, LEASE_MS
@@ -184,10 +184,10 @@
         )
 
     def _mesh_status(self):
-        self.member.note_freshness()
+        self.member.update_freshness()
         follower = self.member.follower
         return MeshStatus(
-            follower.feed.next_offset, self.keys.next_offset, follower.proof_s
+            follower.feed.next_offset, self.keys.next_offset, follower.tail_read_s
         )
 
     def _accept_raw(self, stream, raw):
@@ -205,7 +205,7 @@
         """
         follower = self.member.follower
         if not follower.feed.reachable and earliest > follower.feed.next_offset:
-            follower.lose(earliest)
+            follower.restart_at(earliest)
 
     def _views(self):
         return {
--- a/src/cardamomgrade/records.py
+++ b/src/cardamomgrade/records.py
@@ -4,16 +4,17 @@
 record type, ``fields`` the array of its attributes in order. A section is encoded as
 ``[name, [[option, value], ...]]``.
 
-Terms: an entry is a process that routes requests; an incarnation numbers one run of it.
-A control plans maintenance and places tasks; ``control`` is the name of the one that
-appended a record. A fence is the offset of the record that permits an action.
+Terms: an entry is a process that routes requests. It occupies a seat, one of the names
+that the bundle lists; an incarnation numbers one occupation of a seat. A control plans
+maintenance and places tasks; ``control`` is the name of the one that appended a record.
+A fence is the offset of the record that permits an action.
 """
 
 import attrs
 import cbor2
 
 from .errors import RecordError
-from .kinds import numbered
+from .kinds import kind_registrar
 
 RECORD_VERSION = 1
 STREAM_FLEET = "fleet"
@@ -21,7 +22,7 @@
 STREAM_TASKS = "tasks"
 
 _CLASSES = {}
-_record = numbered(_CLASSES)
+_record = kind_registrar(_CLASSES)
 
 
 @attrs.frozen
@@ -55,7 +56,7 @@
 
 @_record(2)
 class BundleSigned:
-    """Approves a proposed bundle; the signer must not be its author."""
+    """Signs off a proposed bundle; the signer must not be its author."""
 
     digest: bytes
     signer: str
@@ -63,7 +64,7 @@
 
 @_record(3)
 class BundleRolled:
-    """Puts a signed bundle in force in place of its parent."""
+    """Puts a signed-off bundle in force in place of its parent."""
 
     digest: bytes
     operator: str
--- a/tests/steps/control.py
+++ b/tests/steps/control.py
@@ -12,20 +12,20 @@
 from hypothesis import given, settings, strategies as st
 
 from cardamomgrade import follower as follower_module
-from cardamomgrade.estate import ListedVm, RebootTaken
-from cardamomgrade.follower import BEAT_S, Follower, PAUSE_S
+from cardamomgrade.estate import ListedVm, RebootAccepted
+from cardamomgrade.follower import Follower, PAUSE_CHECK_INTERVAL_S, PAUSE_MIN_S
 from cardamomgrade.intent import IntentSchedule, rank
 from cardamomgrade.loop import Loop
 from cardamomgrade.net import Net
 from cardamomgrade.reboots import CALL_RETRY_S, RebootCaller
 from cardamomgrade.records import DrainStarted, Logged, RebootOrdered, VmFailed
 from cardamomgrade.refusal import Reason, Refusal
-from cardamomgrade.replica import Replica, Restored, Step
+from cardamomgrade.replica import FoldedRecord, Replica, Restored
 from cardamomgrade.retention import RANK_DELAY_S, Retention
 from cardamomgrade.server import HttpServer
 from cardamomgrade.snapshot import snapshot_records
 from cardamomgrade.standlog import LogStandin
-from cardamomgrade.watch import GONE_S, REORDER_S, Watch
+from cardamomgrade.watch import MEMBER_GONE_AFTER_S, REBOOT_REORDER_AFTER_S, VmWatch
 from fleets import fleet_log, rebooting_state
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -78,7 +78,7 @@
 
 
 def _records(watch, state, now, *items):
-    watch.take({item.vm: item for item in items}, now)
+    watch.update({item.vm: item for item in items}, now)
     return [type(record).__name__ for record in watch.records(state, now)]
 
 
@@ -86,7 +86,7 @@
 def step_failures(context):
     state = SimpleNamespace(vms=fleet_log().state.vms, members={})
     only = SimpleNamespace(vms={"a1": state.vms["a1"]}, members={})
-    watch = Watch("c")
+    watch = VmWatch("c")
     failed = _listed(state="failed")
     assert _records(watch, only, 0.0, failed) == []
     assert _records(watch, only, 1.0, failed) == ["VmFailed"]
@@ -99,7 +99,7 @@
 @then("a VM joins only when it is live with the fence of its last reboot order")
 def step_joins(context):
     state, fence = rebooting_state("a1")
-    watch = Watch("c")
+    watch = VmWatch("c")
     for item in (_listed(fence=fence - 1), _listed(state="rebooting", fence=fence)):
         assert "VmJoined" not in _records(watch, state, 0.0, item)
     assert "VmJoined" in _records(watch, state, 1.0, _listed(fence=fence))
@@ -108,13 +108,15 @@
 @then("a reboot order without effect is repeated only after ten seconds")
 def step_reorder(context):
     state, fence = rebooting_state("a1")
-    watch = Watch("c")
+    watch = VmWatch("c")
     item = _listed(fence=fence - 1)
     assert "RebootOrdered" not in _records(watch, state, 0.0, item)
-    assert "RebootOrdered" not in _records(watch, state, REORDER_S - 1, item)
+    assert "RebootOrdered" not in _records(
+        watch, state, REBOOT_REORDER_AFTER_S - 1, item
+    )
     begun = _listed(state="rebooting", fence=fence)
-    assert "RebootOrdered" not in _records(watch, state, REORDER_S, begun)
-    assert "RebootOrdered" in _records(watch, state, REORDER_S, item)
+    assert "RebootOrdered" not in _records(watch, state, REBOOT_REORDER_AFTER_S, begun)
+    assert "RebootOrdered" in _records(watch, state, REBOOT_REORDER_AFTER_S, item)
 
 
 @then(
@@ -123,19 +125,21 @@
 def step_gone(context):
     full = fleet_log().state
     state = SimpleNamespace(vms={}, members=full.members)
-    watch = Watch("c")
+    watch = VmWatch("c")
     assert _records(watch, state, 0.0) == [], "never listed"
     assert _records(watch, state, 1.0, _listed("e1", kind="entry")) == []
     assert _records(watch, state, 2.0) == []
-    assert _records(watch, state, 1.0 + GONE_S) == []
-    assert _records(watch, state, 2.0 + GONE_S) == ["MemberGone"]
+    assert _records(watch, state, 1.0 + MEMBER_GONE_AFTER_S) == []
+    assert _records(watch, state, 2.0 + MEMBER_GONE_AFTER_S) == ["MemberGone"]
     back = _listed("e1", kind="entry")
     assert _records(watch, state, 20.0, back) == []
     frozen = _listed("e1", state="failed", kind="entry")
     assert _records(watch, state, 21.0, frozen) == []
-    assert _records(watch, state, 22.0 + GONE_S, frozen) == [], "it may be frozen"
-    assert _records(watch, state, 23.0 + GONE_S) == []
-    assert _records(watch, state, 23.0 + 2 * GONE_S) == ["MemberGone"]
+    assert _records(watch, state, 22.0 + MEMBER_GONE_AFTER_S, frozen) == [], (
+        "it may be frozen"
+    )
+    assert _records(watch, state, 23.0 + MEMBER_GONE_AFTER_S) == []
+    assert _records(watch, state, 23.0 + 2 * MEMBER_GONE_AFTER_S) == ["MemberGone"]
 
 
 class _FakePlatform:
@@ -147,7 +151,7 @@
 
     def reboot(self, vm, fence, on_done):
         self.calls.append(fence)
-        on_done(self._answers.pop(0) if self._answers else RebootTaken(vm, fence))
+        on_done(self._answers.pop(0) if self._answers else RebootAccepted(vm, fence))
 
 
 @then("a reboot is called once, and not after a newer order or a join")
@@ -197,7 +201,10 @@
 
     def replica(since, offset=0):
         return SimpleNamespace(
-            state=state, since_snapshot=since, snapshot_offset=offset, waiting=False
+            state=state,
+            records_since_snapshot=since,
+            snapshot_offset=offset,
+            awaiting_snapshot=False,
         )
 
     cases = (
@@ -267,12 +274,12 @@
         restored = Replica()
         restored.lost(end)
         assert restored.take([Logged(end, 0, bad)]) == []
-        assert restored.waiting, "restored a bad snapshot"
+        assert restored.awaiting_snapshot, "restored a bad snapshot"
     stale = Replica()
     stale.take([*logged, Logged(end, 0, VmFailed("a1", "c"))])
     stale.lost(end + 5)
     assert stale.take([Logged(end + 5, 0, part)]) == []
-    assert stale.waiting, "restored an older state"
+    assert stale.awaiting_snapshot, "restored an older state"
 
 
 @given_step("a follower of a log in this process")
@@ -298,10 +305,10 @@
 
 def _submit(context):
     context.record = VmFailed("a1", "c")
-    context.verdicts = []
-    context.follower.submit(context.record, context.verdicts.append)
-    with mock.patch.object(follower_module, "SETTLE_S", 0.2):
-        context.loop.run_until(lambda: bool(context.verdicts), WAIT_S)
+    context.outcomes = []
+    context.follower.submit(context.record, context.outcomes.append)
+    with mock.patch.object(follower_module, "READ_BACK_TIMEOUT_S", 0.2):
+        context.loop.run_until(lambda: bool(context.outcomes), WAIT_S)
         context.loop.run_until(lambda: False, 0.3)
 
 
@@ -323,17 +330,17 @@
     _submit(context)
 
 
-@then("the verdict is the step read from the log")
-def step_verdict_step(context):
-    (verdict,) = context.verdicts
-    assert isinstance(verdict, Step) and verdict.logged.record == context.record
+@then("the outcome of the append is the record read from the log")
+def step_outcome_record(context):
+    (outcome,) = context.outcomes
+    assert isinstance(outcome, FoldedRecord) and outcome.logged.record == context.record
     assert context.log.appends == 1, "appended again"
 
 
-@then("the verdict is {reason}")
-def step_verdict(context, reason):
-    (verdict,) = context.verdicts
-    assert verdict.reason is Reason(reason), verdict
+@then("the outcome of the append is {reason}")
+def step_outcome(context, reason):
+    (outcome,) = context.outcomes
+    assert outcome.reason is Reason(reason), outcome
 
 
 @when("the process is suspended while the log is down")
@@ -341,14 +348,14 @@
     assert not context.follower.paused()
     context.log.faults.log = "down"
     now = context.loop.now
-    context.loop.now = lambda: now() + 2 * PAUSE_S
+    context.loop.now = lambda: now() + 2 * PAUSE_MIN_S
 
 
 @then("the follower is paused until the log is back")
 def step_paused(context):
     loop, follower = context.loop, context.follower
     assert follower.paused(), "before the first callback"
-    loop.run_until(lambda: False, 3 * BEAT_S)
+    loop.run_until(lambda: False, 3 * PAUSE_CHECK_INTERVAL_S)
     assert follower.paused(), "not paused before a read of the tail"
     assert not follower.fresh(), "fresh before a read of the tail"
     context.log.faults.log = "up"
--- a/tests/steps/member.py
+++ b/tests/steps/member.py
@@ -3,7 +3,7 @@
 from behave import given, then, when
 
 from cardamomgrade.bundle import parse_bundle
-from cardamomgrade.member import ACK_HOLD_S, Member, Seat
+from cardamomgrade.member import ACK_DELAY_S, Member, Seat
 from cardamomgrade.records import (
     BatchAcked,
     BatchOpened,
@@ -42,13 +42,13 @@
         self._offset = 0
         records = rollout(parse_bundle(bundle_text()))
         self.take(*records, MemberJoined(ENTRIES[0], 7, "z0", "127.0.0.1:1"))
-        self.member.freshen(self.now)
+        self.member.extend_lease(self.now)
         self.member.seat.incarnation = 7
 
     def _changed(self):
         self.changes += 1
 
-    def _submit(self, record, on_verdict):
+    def _submit(self, record, on_outcome):
         self.appended.append(record)
 
     def take(self, *records):
@@ -59,7 +59,7 @@
         self.member.follower.feed.accept(raw)
 
     def acked(self):
-        self.member.freshen(self.now)
+        self.member.extend_lease(self.now)
         return any(isinstance(item, BatchAcked) for item in self.appended)
 
 
@@ -77,15 +77,15 @@
         if detection == "a tick":
             single.member.tick()
         else:
-            single.member.note_freshness()
-        single.member.freshen(single.now)
+            single.member.update_freshness()
+        single.member.extend_lease(single.now)
     single.take(BatchOpened("w", 1, ("a1",), "", single._offset - 1, "c"))
 
 
 @then("it acknowledges the batch only after the fixed delay and the longest deadline")
 def step_ack(context):
     single = context.single
-    end = single.now + ACK_HOLD_S + DEADLINE_S
+    end = single.now + ACK_DELAY_S + DEADLINE_S
     while single.now < end:
         assert not single.acked(), single.now
         single.now += STEP_S
@@ -103,21 +103,21 @@
 def step_sends_nothing(context):
     single = context.single
     assert single.member.may_send("a1").reason is Reason.NOT_SERVING
-    single.member.freshen(single.now - 1.0)
+    single.member.extend_lease(single.now - 1.0)
     assert single.member.may_send("a1").reason is Reason.NOT_SERVING
-    single.member.follower._beat()
-    single.member.freshen(single.now + 0.1)
+    single.member.follower._check_pause()
+    single.member.extend_lease(single.now + 0.1)
     assert single.member.may_send("a1") is True
 
 
 @when("it has read the tail since")
 def step_read_tail(context):
     single = context.single
-    single.member.follower._beat()
+    single.member.follower._check_pause()
     single.changes = 0
     for _ in range(3):
         single.now += 0.1
-        single.member.freshen(single.now)
+        single.member.extend_lease(single.now)
 
 
 @then("it signals once that requests may be sent again")
--- a/tests/system.py
+++ b/tests/system.py
@@ -33,7 +33,7 @@
 VMS_PER_POOL = 4
 
 
-class Whole:
+class WholeSystem:
     """The processes of one scenario; the endpoints of a rack share one process."""
 
     def __init__(self, folder):
