--- a/src/cardamomgrade/catchup.py
+++ b/src/cardamomgrade/catchup.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from .journal import note
+from .journal import log_event
 from .mesh_events import RecordsNotKept, RecordsPulled
 from .messages import RawRecord, Records, RecordsMissing, RecordsWanted
 from .records import STREAM_FLEET
@@ -87,7 +87,7 @@
             self._fetch = None
             return
         behind_ms = int((self._loop.now() - fetch.planned_s) * MS_PER_S)
-        note(RecordsPulled(peer, message.stream, before, count, behind_ms))
+        log_event(RecordsPulled(peer, message.stream, before, count, behind_ms))
         self._request_records()
 
     def on_records_missing(self, peer, message):
@@ -96,5 +96,5 @@
         if self._missing_reported.get(peer) != self._own_offset():
             self._missing_reported[peer] = self._own_offset()
             wanted = self._own_offset()
-            note(RecordsNotKept(peer, message.stream, wanted, message.earliest))
+            log_event(RecordsNotKept(peer, message.stream, wanted, message.earliest))
         self._hooks.on_missing(message.stream, message.earliest)
--- a/src/cardamomgrade/control.py
+++ b/src/cardamomgrade/control.py
@@ -36,7 +36,7 @@
 from .explain import control_status, explain_vm, History
 from .follower import Follower
 from .intent import IntentSchedule, rank, shard_of
-from .journal import note, start_logging
+from .journal import log_event, start_logging
 from .loop import Loop
 from .metrics import Metrics
 from .net import Net
@@ -98,8 +98,10 @@
             net,
             cfg.log,
             self._on_results,
-            on_truncated=lambda earliest: note(RecordsLost(earliest)),
-            on_unreadable=lambda offset, detail: note(RecordUnreadable(offset, detail)),
+            on_truncated=lambda earliest: log_event(RecordsLost(earliest)),
+            on_unreadable=lambda offset, detail: log_event(
+                RecordUnreadable(offset, detail)
+            ),
             on_fresh=self._on_fresh,
         )
         self._platform = PlatformClient(loop, net, cfg.vms)
@@ -128,7 +130,7 @@
 
     def start(self):
         """Start reading the log, polling the platform and planning."""
-        note(ControlStarted(self.cfg.zone, self.cfg.log, self.cfg.vms))
+        log_event(ControlStarted(self.cfg.zone, self.cfg.log, self.cfg.vms))
         self._follower.start()
         self._poll()
         self._loop.call_every(self.cfg.tick_ms / MS_PER_S, self._tick)
@@ -138,18 +140,18 @@
 
         Other processes see their outcome when they read the log.
         """
-        note(ControlStopped(self._follower.state.offset))
+        log_event(ControlStopped(self._follower.state.offset))
         self._loop.finish()
 
     def _on_fresh(self):
         if not self._caught_up and not self._follower.replica.awaiting_snapshot:
             self._caught_up = True
-            note(CaughtUp(self._follower.state.offset))
+            log_event(CaughtUp(self._follower.state.offset))
 
     def _on_results(self, results):
         for item in results:
             if isinstance(item, Restored):
-                note(SnapshotRestored(item.through))
+                log_event(SnapshotRestored(item.through))
                 continue
             self._history.add(item)
             if item.refusal is not None:
@@ -162,7 +164,7 @@
         if self._caught_up:
             record = folded.logged.record
             record_type, subject = type(record).__name__, subject_of(record)
-            note(
+            log_event(
                 RecordRefused(
                     folded.logged.offset, record_type, subject, str(folded.refusal)
                 )
@@ -177,12 +179,12 @@
         if isinstance(record, BundleRolled):
             self._on_rolled(folded)
         if self._caught_up:
-            note(RecordApplied(offset, type(record).__name__, subject_of(record)))
+            log_event(RecordApplied(offset, type(record).__name__, subject_of(record)))
 
     def _on_rolled(self, folded):
         offset, bundle = folded.logged.offset, folded.state.bundle
         delay_ms = max(0, int(time.time() * MS_PER_S) - folded.logged.time_ms)
-        note(BundleInForce(offset, bundle.version, bundle.digest.hex(), delay_ms))
+        log_event(BundleInForce(offset, bundle.version, bundle.digest.hex(), delay_ms))
         if self._caught_up:
             self._metrics.time("rollout", delay_ms / MS_PER_S)
 
@@ -204,7 +206,7 @@
         reachable = not isinstance(result, Refusal)
         if reachable != self._platform_reachable:
             self._platform_reachable = reachable
-            note(PlatformReachable(reachable, "" if reachable else str(result)))
+            log_event(PlatformReachable(reachable, "" if reachable else str(result)))
         if reachable:
             self._metrics.count("list_bytes", self._platform.list_bytes)
             self._watch.update(result, self._loop.now())
@@ -237,7 +239,7 @@
         self._tick_count += 1
         if self._follower.feed.reachable != self._log_reachable:
             self._log_reachable = self._follower.feed.reachable
-            note(LogReachable(self._log_reachable))
+            log_event(LogReachable(self._log_reachable))
         if not self._follower.fresh():
             self._reboots.log_withheld()
             return
@@ -272,7 +274,7 @@
         self._explanations = {(item.wave, item.pool): item for item in explanations}
         for key, item in self._explanations.items():
             if previous.get(key) != item:
-                note(WaveExplained(item.wave, item.pool, str(item)))
+                log_event(WaveExplained(item.wave, item.pool, str(item)))
 
     def _rank(self, record):
         state = self._follower.state
@@ -286,7 +288,7 @@
             self._intents.mark_started(record)
             self._metrics.count("intents_appended")
             record_type, subject = type(record).__name__, subject_of(record)
-            note(IntentAppended(record_type, subject, self._rank(record)))
+            log_event(IntentAppended(record_type, subject, self._rank(record)))
             self._follower.submit(record, partial(self._on_settled, record))
 
     def _with_control(self, record):
@@ -297,7 +299,7 @@
         if isinstance(outcome, Refusal):
             self._metrics.count("intents_unsettled")
             record_type, subject = type(record).__name__, subject_of(record)
-            note(IntentUnsettled(record_type, subject, str(outcome)))
+            log_event(IntentUnsettled(record_type, subject, str(outcome)))
 
     def _write_snapshot(self):
         state = self._follower.state
@@ -306,7 +308,7 @@
         if not self._retention.due(replica, status, own_rank, self._loop.now()):
             return
         parts = snapshot_records(state)
-        note(SnapshotWritten(state.offset - 1, len(parts)))
+        log_event(SnapshotWritten(state.offset - 1, len(parts)))
         for part in parts:
             self._follower.feed.append(part)
 
--- a/src/cardamomgrade/entry.py
+++ b/src/cardamomgrade/entry.py
@@ -9,7 +9,7 @@
 from .entry_events import EntryStarted, EntryStopped, EntryStopping
 from .errors import SettingsError
 from .fleet import LEASE_MS
-from .journal import note, start_logging
+from .journal import log_event, start_logging
 from .keys import Keys
 from .leaving import LeavingVms
 from .link import Identity
@@ -249,7 +249,7 @@
         self.keys.start()
         self._loop.call_every(SWEEP_INTERVAL_S, self.dispatcher.sweep)
         self._loop.on_stop(self.stop)
-        note(EntryStarted(self._cfg.listen, self.member.seat.incarnation))
+        log_event(EntryStarted(self._cfg.listen, self.member.seat.incarnation))
         return port
 
     def stop(self):
@@ -260,7 +260,7 @@
         if self._stopping:
             return
         self._stopping = True
-        note(EntryStopping(self.dispatcher.open_requests))
+        log_event(EntryStopping(self.dispatcher.open_requests))
         self._net.close_listeners()
         self.dispatcher.close()
         self._server.drain()
@@ -273,7 +273,7 @@
             return
 
         def on_left(confirmed):
-            note(EntryStopped(unfinished, confirmed))
+            log_event(EntryStopped(unfinished, confirmed))
             if self.mesh:
                 self.mesh.close()
             self._on_end()
--- a/src/cardamomgrade/feed.py
+++ b/src/cardamomgrade/feed.py
@@ -16,7 +16,7 @@
 
 from .client import Requester
 from .errors import RecordError
-from .journal import event, note
+from .journal import event, log_event
 from .records import decode_record, encode_record, Logged, UnknownRecord
 from .refusal import Reason, Refusal
 from .wire import HttpRequest, HttpResponse
@@ -195,7 +195,7 @@
         try:
             self._on_records(batch)
         except Exception as exc:
-            note(ReaderFailed(self._stream, batch[0].offset, repr(exc)))
+            log_event(ReaderFailed(self._stream, batch[0].offset, repr(exc)))
             self._loop.fail()
             raise
 
--- a/src/cardamomgrade/jobs/agent.py
+++ b/src/cardamomgrade/jobs/agent.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from ..journal import event, note
+from ..journal import event, log_event
 from .lease import Lease
 from .reports import LeaseReport, OrderResult
 
@@ -181,7 +181,7 @@
             self._lease.update_clock(now, report.clock_ms)
             if self._executor.unreachable:
                 self._executor.unreachable = False
-                note(ExecutorReachable(self.name, True, ""))
+                log_event(ExecutorReachable(self.name, True, ""))
                 self._driver.on_reachable(self.name)
             self._process_ends(report)
             self._reconcile(report, sent_at)
@@ -196,13 +196,13 @@
             return
         if not self._executor.unreachable:
             self._executor.unreachable = True
-            note(ExecutorReachable(self.name, False, report.result.value))
+            log_event(ExecutorReachable(self.name, False, report.result.value))
         if self._lease.has_lapsed(now) and self._executor.allocations:
             self._report_lapsed()
         self._loop.call_later(RENEW_RETRY_S, self.renew_if_needed)
 
     def _report_lapsed(self):
-        note(
+        log_event(
             ExecutorOver(self.name, len(self._executor.allocations), "its lease lapsed")
         )
         self._starts.clear()
@@ -211,7 +211,7 @@
 
     def _report_gone(self, why):
         if not self._closed:
-            note(ExecutorOver(self.name, len(self._executor.allocations), why))
+            log_event(ExecutorOver(self.name, len(self._executor.allocations), why))
             self._driver.on_executor_gone(self.name)
 
     def _process_ends(self, report):
@@ -230,7 +230,7 @@
         for task, run in reported:
             allocation = placed.get(task)
             if allocation is None or allocation.run != run:
-                note(StrayRun(self.name, task, run))
+                log_event(StrayRun(self.name, task, run))
                 self.stop(task, run)
         for task, allocation in list(placed.items()):
             if (task, allocation.run) in reported:
@@ -243,7 +243,7 @@
                 and pending.accepted_at
                 and pending.accepted_at < sent_at
             ):
-                note(RunMissing(self.name, task, allocation.run))
+                log_event(RunMissing(self.name, task, allocation.run))
                 self._starts.pop((task, allocation.run))
                 self._driver.on_run_missing(self.name, task, allocation.run)
         watch_closely = self._driver.on_running(self.name, report.running)
@@ -278,7 +278,9 @@
         if result is OrderResult.TAKEN:
             pending.accepted_at = now
             return
-        note(OrderAnswered(self.name, "start", order.task, order.run, result.value))
+        log_event(
+            OrderAnswered(self.name, "start", order.task, order.run, result.value)
+        )
         if result is OrderResult.FENCED:
             self._driver.on_fenced(self.name)
         elif result is OrderResult.WRONG_LIFE:
--- a/src/cardamomgrade/jobs/driver.py
+++ b/src/cardamomgrade/jobs/driver.py
@@ -5,7 +5,7 @@
 import attrs
 
 from ..errors import RecordError
-from ..journal import event, note
+from ..journal import event, log_event
 from .agent import ExecutorAgent
 from .availability import Availability
 from .follow import TopicFollower
@@ -186,7 +186,7 @@
         try:
             decoded = self._platform.decode_executor(name, entry.value)
         except RecordError as exc:
-            note(EntryUnreadable(name, str(exc)))
+            log_event(EntryUnreadable(name, str(exc)))
             return
         known = name in self._scheduler.executors
         self._scheduler.put_executor(decoded)
@@ -369,7 +369,7 @@
         if agent is None or not fills:
             return starting
         for order in self._pacer.decide(name, serving, fills, self._loop.now()):
-            note(PaceOrdered(order.task, order.run, name, order.percent))
+            log_event(PaceOrdered(order.task, order.run, name, order.percent))
             agent.pace(
                 order, lambda answer, order=order: self._on_pace_answer(order, answer)
             )
--- a/src/cardamomgrade/jobs/entry.py
+++ b/src/cardamomgrade/jobs/entry.py
@@ -6,7 +6,7 @@
 
 import time
 
-from ..journal import event, note
+from ..journal import event, log_event
 from .calls import Answer, AnswerKind, CallKind
 from .records import CancelRecord, encode, PREFIX_CANCEL, PREFIX_JOB
 from .spec import JobSpec
@@ -116,7 +116,7 @@
             self._metrics.count("answers", call=call_kind, answer=kind)
             self._metrics.time(f"answer_{call_kind}", now - started)
             state = result.state.name.lower() if result.state is not None else ""
-            note(
+            log_event(
                 JobAnswered(
                     call_kind,
                     call.job,
--- a/src/cardamomgrade/jobs/follow.py
+++ b/src/cardamomgrade/jobs/follow.py
@@ -1,6 +1,6 @@
 """Follows a keyed topic of the store: loads the newest records, then reads the log."""
 
-from ..journal import event, note
+from ..journal import event, log_event
 from .store import Entry, Page, Records, Trimmed
 
 READ_WAIT_MS = 500  # a missing scheduler is noticed up to this much later
@@ -111,7 +111,7 @@
             self._deliver(entry)
         self.next_offset = max(end, 0)
         self.loaded = True
-        note(TopicLoaded(self._topic, len(entries), end, why))
+        log_event(TopicLoaded(self._topic, len(entries), end, why))
         self._on_read()
         self._read()
 
@@ -170,10 +170,10 @@
         self._on_fail()
         if not self._failing:
             self._failing = True
-            note(StoreReachable(self._topic, False, str(detail)))
+            log_event(StoreReachable(self._topic, False, str(detail)))
 
     def _succeeded(self):
         self.read_at = self._loop.now()
         if self._failing:
             self._failing = False
-            note(StoreReachable(self._topic, True, ""))
+            log_event(StoreReachable(self._topic, True, ""))
--- a/src/cardamomgrade/jobs/node.py
+++ b/src/cardamomgrade/jobs/node.py
@@ -5,7 +5,7 @@
 import attrs
 
 from ..errors import RecordError, SettingsError
-from ..journal import event, note
+from ..journal import event, log_event
 from ..metrics import Metrics
 from ..net import Net, parse_address
 from ..scrape import ScrapeServer
@@ -141,7 +141,7 @@
             host, _ = parse_address(self._cfg.front)
             port, path = self._metrics_page
             self._scrape_server.listen(f"{host}:{port}", path)
-        note(
+        log_event(
             NodeStarted(
                 self._cfg.zone, self._cfg.front, self._cfg.store, self._incarnation
             )
@@ -189,13 +189,13 @@
         try:
             cfg = load()
         except SettingsError as exc:
-            note(SettingsKept(str(exc)))
+            log_event(SettingsKept(str(exc)))
             return
         names = [field.name for field in attrs.fields(type(cfg))]
         changed = [
             name for name in names if getattr(cfg, name) != getattr(self._cfg, name)
         ]
-        note(SettingsReloaded(", ".join(changed)))
+        log_event(SettingsReloaded(", ".join(changed)))
         bounds = {name: getattr(cfg, name) for name in names if name.endswith("_ms")}
         self._cfg = attrs.evolve(self._cfg, **bounds)
 
@@ -204,7 +204,7 @@
         if self._stopping:
             return
         self._stopping = True
-        note(NodeStopped(self._open_requests))
+        log_event(NodeStopped(self._open_requests))
         if self._driver is not None:
             self._driver.close(resign=True)
             self._driver = None
@@ -283,13 +283,13 @@
             elif entry.key.startswith(self._platform.prefix_wave):
                 self._add_wave(self._platform.decode_wave(entry.value))
         except RecordError as exc:
-            note(ConfigUnreadable(entry.key, str(exc)))
+            log_event(ConfigUnreadable(entry.key, str(exc)))
 
     def _apply_config(self, queue_cfg):
         if self._queue_cfg is not None and queue_cfg.version < self._queue_cfg.version:
             return
         self._queue_cfg = queue_cfg
-        note(
+        log_event(
             ConfigInForce(
                 queue_cfg.version, len(queue_cfg.queues), len(queue_cfg.services)
             )
--- a/src/cardamomgrade/jobs/scheduler.py
+++ b/src/cardamomgrade/jobs/scheduler.py
@@ -12,7 +12,7 @@
 import attrs
 
 from ..health import Health
-from ..journal import note
+from ..journal import log_event
 from .durations import Durations
 from .executors import Executor
 from .needs import PoolNeeds
@@ -156,7 +156,7 @@
         state = job.state
         if state is not self._logged_states.get(job.spec.job):
             self._logged_states[job.spec.job] = state
-            note(JobChanged(job.spec.job, job.spec.queue, state.name.lower()))
+            log_event(JobChanged(job.spec.job, job.spec.queue, state.name.lower()))
 
     def _stop_all(self, job):
         for task in job.placed():
@@ -228,7 +228,7 @@
 
     def _log_executor(self, entry):
         state = "draining" if entry.draining else "ready"
-        note(ExecutorSeen(entry.executor, entry.service, state))
+        log_event(ExecutorSeen(entry.executor, entry.service, state))
 
     def unlist_executor(self, name):
         """Stop placing runs on an executor that the platform no longer lists."""
@@ -236,7 +236,7 @@
         if executor is None or not executor.listed:
             return
         executor.listed = False
-        note(ExecutorSeen(name, executor.entry.service, "unlisted"))
+        log_event(ExecutorSeen(name, executor.entry.service, "unlisted"))
         if not executor.allocations:
             self.forget_executor(name)
 
@@ -288,7 +288,7 @@
             task = job.lapsed_task(parse_task(task_name), run, name)
         if task is None or task.executor != name:
             return False
-        note(TaskEnded(job.spec.job, task_name, run, name, outcome.value))
+        log_event(TaskEnded(job.spec.job, task_name, run, name, outcome.value))
         if outcome is Outcome.DONE and task.phase is Phase.PLACED and task.placed_ms:
             step = job.spec.steps[task.id.step]
             duration_ms = now_ms - task.placed_ms
@@ -326,7 +326,7 @@
                 now_ms,
             )
             if until_ms is not None:
-                note(ExecutorAside(executor.name, service, int(until_ms - now_ms)))
+                log_event(ExecutorAside(executor.name, service, int(until_ms - now_ms)))
 
     def _find_run(self, task_name, run):
         task_id = parse_task(task_name)
@@ -502,7 +502,9 @@
             self.newly_used_executors.add(executor.name)
         executor.allocate(name, run, job.spec.steps[task.id.step])
         free = executor.entry.cores_m - executor.cores_m
-        note(TaskStarted(job.spec.job, name, run, executor.name, job.spec.queue, free))
+        log_event(
+            TaskStarted(job.spec.job, name, run, executor.name, job.spec.queue, free)
+        )
         return Start(executor.name, name, run, job.spec.text, task.checkpoint)
 
     def finished(self):
--- a/src/cardamomgrade/jobs/term.py
+++ b/src/cardamomgrade/jobs/term.py
@@ -11,7 +11,7 @@
 import random
 
 from ..chart import load_chart
-from ..journal import event, note
+from ..journal import event, log_event
 
 TERM_TIMEOUT_S = 1.5  # three heartbeats and one long poll that returns nothing
 TERM_JITTER_S = 0.3  # so that usually only one node is a candidate at a time
@@ -67,7 +67,7 @@
         if not next_state:
             return False
         self.state = next_state
-        note(TermChanged(self.state, self.epoch, why))
+        log_event(TermChanged(self.state, self.epoch, why))
         return True
 
     def on_term_record(self, record, now):
--- a/src/cardamomgrade/jobs/view.py
+++ b/src/cardamomgrade/jobs/view.py
@@ -3,7 +3,7 @@
 import attrs
 
 from ..errors import RecordError
-from ..journal import event, note
+from ..journal import event, log_event
 from .records import (
     decode_job,
     decode_learned,
@@ -109,7 +109,7 @@
             if self.on_stored is not None and entry.key.startswith(CALLER_PREFIXES):
                 self.on_stored(entry.key)
         except RecordError as exc:
-            note(RecordSkipped(entry.key, entry.offset, str(exc)))
+            log_event(RecordSkipped(entry.key, entry.offset, str(exc)))
 
     def _fold_term(self, entry):
         record = decode_term(entry.value)
--- a/src/cardamomgrade/jobs/vms.py
+++ b/src/cardamomgrade/jobs/vms.py
@@ -1,6 +1,6 @@
 """Sends the scheduler's orders for VMs: upkeep in waves, and moves between pools."""
 
-from ..journal import event, note
+from ..journal import event, log_event
 from .pools import PoolPlanner
 from .records import (
     encode,
@@ -150,7 +150,9 @@
         if (wave, completed) in self._announced:
             return
         name = "completed" if completed else "running"
-        note(WaveChanged(wave, name, len(state.request.vms), len(state.pending_vms())))
+        log_event(
+            WaveChanged(wave, name, len(state.request.vms), len(state.pending_vms()))
+        )
         self._announced.add((wave, completed))
 
         def done(result):
@@ -203,7 +205,7 @@
             if result is VmOrderResult.NO_ANSWER:
                 self._loop.call_later(MOVE_RETRY_S, lambda: self._order_move(move))
                 return
-            note(MoveOrdered(move.vm, move.pool, move.executor, result.value))
+            log_event(MoveOrdered(move.vm, move.pool, move.executor, result.value))
             self._ending_by_move.pop(move.vm, None)
             if result is VmOrderResult.DONE:
                 self._driver.on_executor_gone(move.executor)
@@ -240,7 +242,7 @@
                 self._availability.cancel_reservation(tasks)
             if self._closed:
                 return
-            note(UpkeepOrdered(vm, wave, executor, result.value))
+            log_event(UpkeepOrdered(vm, wave, executor, result.value))
             if result is VmOrderResult.DONE:
                 self._upkeep.record_begun(wave, vm)
                 self._store_begun(wave, vm, executor)
--- a/src/cardamomgrade/jobs/writer.py
+++ b/src/cardamomgrade/jobs/writer.py
@@ -9,7 +9,7 @@
 
 import attrs
 
-from ..journal import event, note
+from ..journal import event, log_event
 from .records import encode, KEY_TERM, TermRecord
 from .store import Appended, AppendFate, WriterPosition
 from .term import BEAT_S
@@ -149,7 +149,7 @@
         self._metrics.count("appends", by="scheduler", fate=result.fate.value)
         if not batch.logged:
             batch.logged = True
-            note(AppendRetried(batch.sequence, result.fate.value, result.detail))
+            log_event(AppendRetried(batch.sequence, result.fate.value, result.detail))
         self._loop.call_later(APPEND_RETRY_S, lambda: self._send_again(batch))
 
     def _send_again(self, batch):
--- a/src/cardamomgrade/journal.py
+++ b/src/cardamomgrade/journal.py
@@ -96,7 +96,7 @@
     _LOGGER.handlers[:] = [logging.NullHandler()]
 
 
-def note(item):
+def log_event(item):
     """Log an event with its attributes as fields."""
     if not _LOGGER.isEnabledFor(item.LEVEL):
         return
--- a/src/cardamomgrade/keys.py
+++ b/src/cardamomgrade/keys.py
@@ -9,7 +9,7 @@
 from .claim import ClaimState
 from .entry_events import BadLogRecord, KeyOwned, KeyReleaseOwed, LogTruncated
 from .feed import Appended, Feed
-from .journal import note
+from .journal import log_event
 from .records import KeyClaimed, KeyReleased, STREAM_CLAIMS
 from .refusal import Reason, Refusal
 
@@ -65,7 +65,7 @@
             self._on_records,
             on_fresh=self._on_fresh,
             on_truncated=self._on_lost,
-            on_unreadable=lambda offset, detail: note(
+            on_unreadable=lambda offset, detail: log_event(
                 BadLogRecord(STREAM_CLAIMS, offset, detail)
             ),
         )
@@ -208,7 +208,7 @@
                 self._resolve(request, Refusal(Reason.UNAVAILABLE, detail))
 
     def _on_lost(self, earliest):
-        note(LogTruncated(STREAM_CLAIMS, earliest))
+        log_event(LogTruncated(STREAM_CLAIMS, earliest))
         self._claims.restart_at(earliest)
         self._truncated_at = self._loop.now()
         self._feed.next_offset = earliest
--- a/src/cardamomgrade/member.py
+++ b/src/cardamomgrade/member.py
@@ -18,7 +18,7 @@
 from .feed import Appended
 from .fleet import batches_to_ack, drains_to_confirm, is_member, may_send
 from .follower import Follower
-from .journal import note
+from .journal import log_event
 from .records import (
     BatchAcked,
     DrainConfirmed,
@@ -132,7 +132,7 @@
             # would wait until the next record.
             on_resumed=self._on_change,
             on_truncated=self._on_truncated,
-            on_unreadable=lambda offset, detail: note(
+            on_unreadable=lambda offset, detail: log_event(
                 BadLogRecord(STREAM_FLEET, offset, detail)
             ),
             on_raw=hooks.get("on_raw"),
@@ -202,7 +202,7 @@
             self._ack_after_s = self._loop.now() + ACK_DELAY_S + deadline_s
         if fresh != self._was_fresh:
             event = FreshnessRegained if fresh else FreshnessLost
-            note(event(self.state.offset))
+            log_event(event(self.state.offset))
         self._was_fresh = fresh
 
     def _append_due(self):
@@ -223,11 +223,11 @@
 
     def _append(self, record):
         name = type(record).__name__
-        note(AppendOwed(name, getattr(record, "batch", -1)))
+        log_event(AppendOwed(name, getattr(record, "batch", -1)))
 
         def done(outcome):
             if isinstance(outcome, Refusal):
-                note(AppendFailed(name, str(outcome)))
+                log_event(AppendFailed(name, str(outcome)))
             self._retry_at[record] = self._loop.now() + APPEND_RETRY_S
 
         if not self.follower.feed.reachable and self._relay(record):
@@ -261,7 +261,7 @@
             self.seat.renew(member.incarnation)
 
     def _on_truncated(self, earliest):
-        note(LogTruncated(STREAM_FLEET, earliest))
+        log_event(LogTruncated(STREAM_FLEET, earliest))
         self._seat_used_before = True
 
     def _shows_prior_use(self, item):
@@ -276,7 +276,7 @@
         )
         if self.state.bundle is not self._bundle:
             self._bundle = self.state.bundle
-            note(BundleInForce(self._bundle.version, self.state.bundle_offset))
+            log_event(BundleInForce(self._bundle.version, self.state.bundle_offset))
         self._check_seat()
         self._on_change()
         self.tick()
@@ -286,13 +286,13 @@
             return
         member = self.state.members.get(self.seat.name)
         if self.is_member() and not self._was_member:
-            note(EntryMember(self.seat.incarnation))
+            log_event(EntryMember(self.seat.incarnation))
         removed = self._was_member and member is None
         self._was_member = self.is_member()
         if removed:
             self.seat.renew(self.seat.incarnation)
         elif member is not None and member.incarnation > self.seat.incarnation:
-            note(SeatTaken(self.seat.incarnation, member.incarnation))
+            log_event(SeatTaken(self.seat.incarnation, member.incarnation))
             self._on_replaced()
 
     def leave(self, on_done):
--- a/src/cardamomgrade/mesh.py
+++ b/src/cardamomgrade/mesh.py
@@ -5,7 +5,7 @@
 from .catchup import CatchUp
 from .errors import PeerError, RecordError
 from .feed import Backoff
-from .journal import note
+from .journal import log_event
 from .link import Link
 from .membership import (
     handed_on_proof,
@@ -183,7 +183,7 @@
         """Log why there is no link, unless the reason is the same as last time."""
         if self._refusal_reasons.get(peer) != reason:
             self._refusal_reasons[peer] = reason
-            note(LinkRefused(peer, address, reason))
+            log_event(LinkRefused(peer, address, reason))
 
     def _on_down(self, link, reason):
         self._pending.discard(link)
@@ -288,17 +288,19 @@
         halted = self.ledger.halted()
         if halted and self._halted_since_s is None:
             self._halted_since_s = self._loop.now()
-            note(SlotsHalted(int(PAUSE_LIMIT_S * MS_PER_S)))
+            log_event(SlotsHalted(int(PAUSE_LIMIT_S * MS_PER_S)))
         elif not halted and self._halted_since_s is not None:
-            note(SlotsResumed(self._ms_since(self._halted_since_s)))
+            log_event(SlotsResumed(self._ms_since(self._halted_since_s)))
             self._halted_since_s = None
         elif halted and self._loop.now() > self._halted_since_s + HALT_LIMIT_S:
             self._halted_since_s = float("inf")
-            note(SeatStuck(self._identity.incarnation, int(HALT_LIMIT_S * MS_PER_S)))
+            log_event(
+                SeatStuck(self._identity.incarnation, int(HALT_LIMIT_S * MS_PER_S))
+            )
             self._hooks.on_superseded(self._identity.incarnation)
         if self.ledger.unlocked and not self._unlocked:
             self._unlocked = True
-            note(SlotsUnlocked(self._ms_since(self._started_s)))
+            log_event(SlotsUnlocked(self._ms_since(self._started_s)))
 
     def _ms_since(self, then):
         return int((self._loop.now() - then) * MS_PER_S)
@@ -374,14 +376,14 @@
             raise PeerError(
                 f"relayed {type(record).__name__} does not have entry {peer!r}"
             )
-        note(AppendRelayed(peer, message.stream, record.KIND))
+        log_event(AppendRelayed(peer, message.stream, record.KIND))
         self._hooks.append(message.stream, record)
 
     def _on_superseded(self, session, message):
         if message.incarnation <= self._identity.incarnation:
             return
         peer = session.link.peer
-        note(SeatSuperseded(peer, self._identity.incarnation, message.incarnation))
+        log_event(SeatSuperseded(peer, self._identity.incarnation, message.incarnation))
         self.ledger.supersede()
         self._hooks.on_superseded(message.incarnation)
 
--- a/src/cardamomgrade/mesh_events.py
+++ b/src/cardamomgrade/mesh_events.py
@@ -2,7 +2,7 @@
 
 import logging
 
-from .journal import event, note
+from .journal import event, log_event
 
 MS_PER_S = 1000
 
@@ -107,9 +107,9 @@
 def log_change(change):
     """Log the events that follow from a ``membership.Change``."""
     if 0 < change.old_incarnation < change.incarnation:
-        note(PeerReplaced(change.peer, change.old_incarnation, change.incarnation))
+        log_event(PeerReplaced(change.peer, change.old_incarnation, change.incarnation))
     if change.before is not change.after:
-        note(
+        log_event(
             PeerChanged(
                 change.peer,
                 change.incarnation,
--- a/src/cardamomgrade/ops.py
+++ b/src/cardamomgrade/ops.py
@@ -14,7 +14,7 @@
 from .auth import authorization, NonceBook, SCHEME
 from .client import Requester
 from .errors import PeerError
-from .journal import event, note
+from .journal import event, log_event
 from .net import Net, parse_address
 from .refusal import Reason, Refusal
 from .server import HttpServer, ServerLimits
@@ -102,7 +102,7 @@
         )
         host, port = parse_address(address)
         self.port = self._server.listen(host, port)
-        note(OpsListening(f"{host}:{self.port}"))
+        log_event(OpsListening(f"{host}:{self.port}"))
 
     def _on_request(self, exchange):
         req = exchange.req
@@ -112,7 +112,7 @@
             exchange.respond(self._response(req))
             return
         if header:
-            note(OpsRefused(exchange.peer[0], req.path))
+            log_event(OpsRefused(exchange.peer[0], req.path))
         challenge = f"{SCHEME} {self._nonces.issue(now)}".encode()
         refusal = Refusal(Reason.BAD_VALUE, "the shared key is needed")
         headers = ((b"www-authenticate", challenge),)
--- a/src/cardamomgrade/pool.py
+++ b/src/cardamomgrade/pool.py
@@ -6,7 +6,7 @@
 from .choice import Candidate, Choice, Chooser, Ejected, Restored
 from .endpoint import Call, Endpoint
 from .entry_events import EndpointEjected, EndpointRestored
-from .journal import note
+from .journal import log_event
 from .route import forwarded_request
 
 SLOW_TIMEOUT_RATIO = 4.0
@@ -211,9 +211,9 @@
         seconds = now - attempt.started
         change = pool.chooser.record(attempt.choice, ok, seconds, now)
         if isinstance(change, Ejected):
-            note(EndpointEjected(change.vm, change.reason, change.delay_s))
+            log_event(EndpointEjected(change.vm, change.reason, change.delay_s))
         elif isinstance(change, Restored):
-            note(EndpointRestored(change.vm))
+            log_event(EndpointRestored(change.vm))
 
     def _release(self, attempt):
         vm = attempt.vm
--- a/src/cardamomgrade/reboots.py
+++ b/src/cardamomgrade/reboots.py
@@ -10,7 +10,7 @@
 import attrs
 
 from .decisions import RebootAnswered, RebootCalled, RebootWithheld
-from .journal import note
+from .journal import log_event
 from .refusal import Reason, Refusal
 from .watch import PHASE_REBOOTING
 
@@ -72,12 +72,12 @@
     def _call(self, vm, order, now):
         order.called = True
         order.last_call_s = now
-        note(RebootCalled(vm, order.fence))
+        log_event(RebootCalled(vm, order.fence))
         self._platform.reboot(vm, order.fence, partial(self._on_answered, vm, order))
 
     def _on_answered(self, vm, order, result):
         outcome = str(result) if isinstance(result, Refusal) else OUTCOME_TAKEN
-        note(RebootAnswered(vm, order.fence, outcome))
+        log_event(RebootAnswered(vm, order.fence, outcome))
         if isinstance(result, Refusal) and result.reason is Reason.UNAVAILABLE:
             order.called = False
 
@@ -86,7 +86,7 @@
         for vm, order in self._orders.items():
             if not order.called and not order.withheld_logged:
                 order.withheld_logged = True
-                note(RebootWithheld(vm, order.fence))
+                log_event(RebootWithheld(vm, order.fence))
 
 
 def _is_latest(state, vm, order):
--- a/src/cardamomgrade/recent.py
+++ b/src/cardamomgrade/recent.py
@@ -5,7 +5,7 @@
 import attrs
 
 from .entry_events import RequestAnswered
-from .journal import note
+from .journal import log_event
 from .refusal import Reason, Refusal
 
 REQUESTS_LIMIT = 1000
@@ -43,7 +43,7 @@
 
         Of each request the first EVENTS_PER_REQUEST_LIMIT events are kept.
         """
-        note(item)
+        log_event(item)
         self._metrics.count(type(item).__name__)
         if isinstance(item, RequestAnswered):
             self._metrics.time("answer", item.ms / MS_PER_S)
--- a/tests/steps/journal.py
+++ b/tests/steps/journal.py
@@ -29,7 +29,7 @@
 def step_line(context):
     stream = io.StringIO()
     journal.start_logging("entry", "e1", stream)
-    journal.note(EntryMember(7))
+    journal.log_event(EntryMember(7))
     journal.stop_logging()
     (line,) = stream.getvalue().splitlines()
     found = json.loads(line)
